--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -9,8 +9,8 @@
 #include "coord/Evidence.h"
 #include "coord/FactSet.h"
 #include "coord/Router.h"
-#include "coord/VersionTest.h"
-#include "test/MemberNet.h"
+#include "coord/VersionComparison.h"
+#include "test/MembershipSimulation.h"
 
 #include <chrono>
 #include <cstdio>
@@ -37,11 +37,11 @@
 }
 
 void
-Print(const char* aRole,
-      const char* aInput,
-      double aSize,
-      const char* aWhat,
-      double aValue)
+PrintResult(const char* aRole,
+            const char* aInput,
+            double aSize,
+            const char* aWhat,
+            double aValue)
 {
   std::printf("{\"role\":\"%s\",\"input\":\"%s\",\"size\":%.0f,"
               "\"what\":\"%s\",\"value\":%.3f}\n",
@@ -58,7 +58,7 @@
 {
   for (const std::size_t count : { 6U, 50U, 150U, 330U }) {
     const double before = HeapBytes();
-    test::MemberNet net(count);
+    test::MembershipSimulation net(count);
     net.Run(Millis(count < 100 ? 60000 : 200000));
     const double state = (HeapBytes() - before) / static_cast<double>(count);
     net.bytes = 0;
@@ -68,27 +68,27 @@
     net.Run(Millis(10000));
     const double each = kSeconds * static_cast<double>(count);
     const auto size = static_cast<double>(count);
-    Print("membership",
-          "daemons",
-          size,
-          "bytes sent a second",
-          static_cast<double>(net.bytes) / each);
-    Print("membership",
-          "daemons",
-          size,
-          "messages sent a second",
-          static_cast<double>(net.messages) / each);
-    Print("membership",
-          "daemons",
-          size,
-          "processor ns a second",
-          NanosecondsSince(start) / each);
-    Print("membership", "daemons", size, "state bytes", state);
+    PrintResult("membership",
+                "daemons",
+                size,
+                "bytes sent a second",
+                static_cast<double>(net.bytes) / each);
+    PrintResult("membership",
+                "daemons",
+                size,
+                "messages sent a second",
+                static_cast<double>(net.messages) / each);
+    PrintResult("membership",
+                "daemons",
+                size,
+                "processor ns a second",
+                NanosecondsSince(start) / each);
+    PrintResult("membership", "daemons", size, "state bytes", state);
   }
 }
 
 EngineReport
-ReportOf(std::size_t aIndex)
+MakeEngineReport(std::size_t aIndex)
 {
   EngineReport report;
   report.id = InstanceId{ "engine-" + std::to_string(aIndex) };
@@ -109,10 +109,11 @@
     const double before = HeapBytes();
     Router router{ Random(1) };
     for (std::size_t i = 0; i < count; ++i) {
-      router.Upsert(ReportOf(i));
+      router.Upsert(MakeEngineReport(i));
     }
     const auto size = static_cast<double>(count);
-    Print("routing", "engines", size, "state bytes", HeapBytes() - before);
+    PrintResult(
+      "routing", "engines", size, "state bytes", HeapBytes() - before);
     RouteRequest request;
     request.service = ServiceId{ "survey" };
     request.version = VersionId{ "v1" };
@@ -124,26 +125,26 @@
     for (std::uint64_t i = 0; i < kDecisions; ++i) {
       request.prefixHash = Hash64("p", i % 997 + 1);
       const auto choice = router.Pick(request, TimePoint{ 1000 });
-      EngineEnding ending;
-      ending.answered = true;
+      EngineResult ending;
+      ending.completed = true;
       ending.firstTokenMs = 10;
       ending.totalMs = 200;
       router.Finish(*choice, ending);
     }
-    Print("routing",
-          "engines",
-          size,
-          "ns a decision",
-          NanosecondsSince(start) / kDecisions);
+    PrintResult("routing",
+                "engines",
+                size,
+                "ns a decision",
+                NanosecondsSince(start) / kDecisions);
     const auto upserts = Clock::now();
     for (std::size_t i = 0; i < count; ++i) {
-      router.Upsert(ReportOf(i));
+      router.Upsert(MakeEngineReport(i));
     }
-    Print("routing",
-          "engines",
-          size,
-          "ns a load report",
-          NanosecondsSince(upserts) / size);
+    PrintResult("routing",
+                "engines",
+                size,
+                "ns a load report",
+                NanosecondsSince(upserts) / size);
   }
 }
 
@@ -158,34 +159,35 @@
     for (std::size_t i = 0; i < count; ++i) {
       const AttemptId attempt{ "a-daemon-17.1700000000000-" +
                                std::to_string(i) };
-      const CallKey key{ "crews/jobdesk/1000-" + std::to_string(i) };
-      claims.Ask(key, Fingerprint{ i }, attempt, TimePoint{ 1000000 });
+      const IdempotencyKey key{ "crews/jobdesk/1000-" + std::to_string(i) };
+      claims.TryClaim(key, Fingerprint{ i }, attempt, TimePoint{ 1000000 });
       auto claim = claims.Queue().NextToSend();
       bytes += static_cast<double>(claim->ByteSizeLong());
       claims.Apply(2 * i + 1, *claim);
       claims.Dispatch(attempt, TimePoint{ 1000000 });
-      ClaimAnswer answer;
+      ClaimOutcome answer;
       answer.status = 200;
       answer.body = std::string(100, 'x');
-      claims.Answered(attempt, answer);
+      claims.Complete(attempt, answer);
       claims.Release(attempt);
       auto outcome = claims.Queue().NextToSend();
       bytes += static_cast<double>(outcome->ByteSizeLong());
       claims.Apply(2 * i + 2, *outcome);
     }
     const auto size = static_cast<double>(count);
-    Print("claims", "keys kept", size, "state bytes", HeapBytes() - before);
-    Print("claims", "keys kept", size, "log bytes", bytes);
-    Print("claims",
-          "keys kept",
-          size,
-          "ns a claim",
-          NanosecondsSince(start) / size);
+    PrintResult(
+      "claims", "keys kept", size, "state bytes", HeapBytes() - before);
+    PrintResult("claims", "keys kept", size, "log bytes", bytes);
+    PrintResult("claims",
+                "keys kept",
+                size,
+                "ns a claim",
+                NanosecondsSince(start) / size);
   }
 }
 
 records::Batch
-ChangeOf(std::size_t aNumber, std::uint64_t aBase)
+MakeConfigChange(std::size_t aNumber, std::uint64_t aBase)
 {
   records::Batch batch;
   batch.set_writer("d/1");
@@ -220,23 +222,23 @@
     const auto start = Clock::now();
     for (std::size_t i = 0; i < count; ++i) {
       std::uint64_t& base = bases[i % 100];
-      const records::Batch batch = ChangeOf(i, base);
+      const records::Batch batch = MakeConfigChange(i, base);
       base = PositionOf(i + 1, 0).value;
       bytes += static_cast<double>(batch.ByteSizeLong());
       reader.Apply(i + 1, batch);
     }
     const auto size = static_cast<double>(count);
-    Print("configuration",
-          "changes",
-          size,
-          "ns a change",
-          NanosecondsSince(start) / size);
-    Print("configuration", "changes", size, "log bytes", bytes);
-    Print("configuration",
-          "changes",
-          size,
-          "snapshot bytes",
-          static_cast<double>(reader.Snapshot().ByteSizeLong()));
+    PrintResult("configuration",
+                "changes",
+                size,
+                "ns a change",
+                NanosecondsSince(start) / size);
+    PrintResult("configuration", "changes", size, "log bytes", bytes);
+    PrintResult("configuration",
+                "changes",
+                size,
+                "snapshot bytes",
+                static_cast<double>(reader.Snapshot().ByteSizeLong()));
   }
 }
 
@@ -258,30 +260,32 @@
                       Stratum{ 0, "chat" },
                       seen);
       }
-      for (const peer::Evidence& evidence : table.Own(Position{ 1 })) {
+      for (const peer::Evidence& evidence :
+           table.LocalEvidence(Position{ 1 })) {
         bytes += static_cast<double>(evidence.ByteSizeLong());
         owner.Merge(evidence);
       }
     }
     const auto size = static_cast<double>(daemons);
-    Print("evidence",
-          "daemons",
-          size,
-          "state bytes at the owner",
-          HeapBytes() - before);
-    Print("evidence", "daemons", size, "bytes to the owner a round", bytes);
+    PrintResult("evidence",
+                "daemons",
+                size,
+                "state bytes at the owner",
+                HeapBytes() - before);
+    PrintResult(
+      "evidence", "daemons", size, "bytes to the owner a round", bytes);
     const auto start = Clock::now();
     constexpr int kRounds = 200;
     for (int i = 0; i < kRounds; ++i) {
-      TestVersion(owner.Sum(Position{ 1 }, VersionId{ "v1" }),
-                  owner.Sum(Position{ 1 }, VersionId{ "v2" }),
-                  {});
+      CompareVersions(owner.Sum(Position{ 1 }, VersionId{ "v1" }),
+                      owner.Sum(Position{ 1 }, VersionId{ "v2" }),
+                      {});
     }
-    Print("evidence",
-          "daemons",
-          size,
-          "ns a verdict",
-          NanosecondsSince(start) / kRounds);
+    PrintResult("evidence",
+                "daemons",
+                size,
+                "ns a verdict",
+                NanosecondsSince(start) / kRounds);
   }
 }
 
@@ -304,9 +308,10 @@
       facts.Add(std::move(fact), TimePoint{ 0 });
     }
     const auto size = static_cast<double>(count);
-    Print("facts", "facts kept", size, "state bytes", HeapBytes() - before);
-    Print("facts", "facts kept", size, "bytes sent whole", bytes);
-    Print(
+    PrintResult(
+      "facts", "facts kept", size, "state bytes", HeapBytes() - before);
+    PrintResult("facts", "facts kept", size, "bytes sent whole", bytes);
+    PrintResult(
       "facts", "facts kept", size, "ns a fact", NanosecondsSince(start) / size);
   }
 }
--- a/examples/AtMostOnce.cpp
+++ b/examples/AtMostOnce.cpp
@@ -20,7 +20,7 @@
   for (ClaimCoordinator* node : aNodes) {
     while (const auto batch = node->Queue().NextToSend()) {
       aLog.push_back(*batch);
-      node->Queue().Settled(batch->sequence());
+      node->Queue().MarkCommitted(batch->sequence());
     }
   }
   for (; aRead < aLog.size(); ++aRead) {
@@ -36,14 +36,14 @@
 main()
 {
   const TimePoint now{ 1700000000000 };
-  const CallKey key{ "team/service/1700000000-booking-7" };
+  const IdempotencyKey key{ "team/service/1700000000-booking-7" };
   const Fingerprint body{ 42 };
   ClaimCoordinator left(WriterId{ "left/1" }, Millis(3600000));
   ClaimCoordinator right(WriterId{ "right/1" }, Millis(3600000));
 
   // Both are asked for the same key at the same time.
-  left.Ask(key, body, AttemptId{ "l" }, now);
-  right.Ask(key, body, AttemptId{ "r" }, now);
+  left.TryClaim(key, body, AttemptId{ "l" }, now);
+  right.TryClaim(key, body, AttemptId{ "r" }, now);
   std::vector<records::Batch> log;
   std::size_t read = 0;
   Exchange({ &left, &right }, log, read);
@@ -54,12 +54,12 @@
             << "\n";
 
   // The one that sent records the answer; the other can give it too.
-  ClaimAnswer answer;
+  ClaimOutcome answer;
   answer.status = 200;
   answer.body = "booked";
-  left.Answered(AttemptId{ "l" }, answer);
+  left.Complete(AttemptId{ "l" }, answer);
   Exchange({ &left, &right }, log, read);
-  std::cout << "right answers: " << right.Table().Find(key)->answer->body
+  std::cout << "right answers: " << right.Table().Find(key)->outcome->body
             << "\n";
   return leftSends && !rightSends ? 0 : 1;
 }
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -55,7 +55,7 @@
 }
 
 EventLog::EventLog(std::string aProcess, std::function<TimePoint()> aNow)
-  : process(std::move(aProcess))
+  : processName(std::move(aProcess))
   , now(std::move(aNow))
 {
 }
@@ -63,25 +63,25 @@
 void
 EventLog::Emit(const Event& aEvent)
 {
-  const Stamp stamp = this->clock.Next(this->now());
-  std::string line =
-    "at=" + ToText(stamp) + " process=" + this->process + " " + aEvent.Text();
+  const HybridTimestamp stamp = this->clock.Next(this->now());
+  std::string line = "at=" + ToText(stamp) + " process=" + this->processName +
+                     " " + aEvent.Text();
   BOOST_LOG_TRIVIAL(info) << line;
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->lines.push_back(std::move(line));
-  ++this->newest;
-  if (this->lines.size() > kKept) {
+  ++this->latestNumber;
+  if (this->lines.size() > kMaxLines) {
     this->lines.pop_front();
   }
 }
 
 EventLog::Page
-EventLog::Since(std::uint64_t aAfter)
+EventLog::LinesAfter(std::uint64_t aAfter)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   Page page;
-  page.newest = this->newest;
-  const std::uint64_t oldest = this->newest - this->lines.size();
+  page.latestNumber = this->latestNumber;
+  const std::uint64_t oldest = this->latestNumber - this->lines.size();
   const std::uint64_t skip = aAfter > oldest ? aAfter - oldest : 0;
   for (std::uint64_t i = skip; i < this->lines.size(); ++i) {
     page.lines.push_back(this->lines[i]);
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -67,23 +67,23 @@
    * beyond the newest kKept are gone. */
   struct Page
   {
-    std::uint64_t newest = 0;
+    std::uint64_t latestNumber = 0;
     std::vector<std::string> lines;
   };
-  Page Since(std::uint64_t aAfter);
+  Page LinesAfter(std::uint64_t aAfter);
 
   HybridClock& Clock() { return this->clock; }
 
   /** How many lines are kept in memory. */
-  static constexpr std::size_t kKept = 8000;
+  static constexpr std::size_t kMaxLines = 8000;
 
 private:
-  std::string process;
+  std::string processName;
   std::function<TimePoint()> now;
   HybridClock clock;
   std::mutex mutex;
   std::deque<std::string> lines;
-  std::uint64_t newest = 0;
+  std::uint64_t latestNumber = 0;
 };
 
 /** Sends Boost.Log output to a writer as bare lines.
--- a/src/base/Guarded.h
+++ b/src/base/Guarded.h
@@ -19,15 +19,15 @@
   eWork,
   eMembers,
   eEvidence,
-  eSuspects,
+  eFactTables,
   eAdmission,
   eRouter,
-  eMetrics,
+  eRetryBudget,
 };
 
 namespace Internal {
 /** Rank of the lock this thread took last; 0 when it holds none. */
-inline thread_local int sHeldRank = 0;
+inline thread_local int sHeldLockRank = 0;
 } // namespace Internal
 
 /**
@@ -54,7 +54,7 @@
   }
 
   template<typename F>
-  decltype(auto) With(F&& aUse)
+  decltype(auto) WithLock(F&& aUse)
   {
     const RankScope scope;
     const std::lock_guard<std::mutex> lock(this->mutex);
@@ -64,15 +64,15 @@
 private:
   struct RankScope
   {
-    int previous = Internal::sHeldRank;
+    int previous = Internal::sHeldLockRank;
 
     RankScope()
     {
       Invariant(this->previous < static_cast<int>(kRank),
                 "locks are taken in the order of LockRank");
-      Internal::sHeldRank = static_cast<int>(kRank);
+      Internal::sHeldLockRank = static_cast<int>(kRank);
     }
-    ~RankScope() { Internal::sHeldRank = this->previous; }
+    ~RankScope() { Internal::sHeldLockRank = this->previous; }
     RankScope(const RankScope&) = delete;
     RankScope& operator=(const RankScope&) = delete;
   };
--- a/src/base/Hash.cpp
+++ b/src/base/Hash.cpp
@@ -13,7 +13,7 @@
 }
 
 std::uint64_t
-MixHash(std::uint64_t aFirst, std::uint64_t aSecond)
+CombineHashes(std::uint64_t aFirst, std::uint64_t aSecond)
 {
   const std::array<std::uint64_t, 2> both{ aFirst, aSecond };
   return XXH64(both.data(), sizeof(both), 0);
--- a/src/base/Hash.h
+++ b/src/base/Hash.h
@@ -16,7 +16,7 @@
 
 /** Mixes two hashes into one. */
 std::uint64_t
-MixHash(std::uint64_t aFirst, std::uint64_t aSecond);
+CombineHashes(std::uint64_t aFirst, std::uint64_t aSecond);
 
 /** SHA-256 as 64 lower-case hex digits. */
 std::string
--- a/src/base/HybridClock.cpp
+++ b/src/base/HybridClock.cpp
@@ -11,7 +11,7 @@
 }
 
 std::string
-ToText(Stamp aStamp)
+ToText(HybridTimestamp aStamp)
 {
   std::array<char, 32> text{};
   std::snprintf(text.data(),
@@ -22,17 +22,17 @@
   return text.data();
 }
 
-Stamp
+HybridTimestamp
 HybridClock::Next(TimePoint aWall)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   const auto wall = static_cast<std::uint64_t>(aWall.ms) << kCounterBits;
   this->last = std::max(wall, this->last + 1);
-  return Stamp{ this->last };
+  return HybridTimestamp{ this->last };
 }
 
 void
-HybridClock::Observe(Stamp aRemote)
+HybridClock::Observe(HybridTimestamp aRemote)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->last = std::max(this->last, aRemote.packed);
--- a/src/base/HybridClock.h
+++ b/src/base/HybridClock.h
@@ -13,25 +13,25 @@
 namespace toucanshed {
 
 /** Milliseconds in the upper 48 bits, a counter in the lower 16. */
-struct Stamp
+struct HybridTimestamp
 {
   std::uint64_t packed = 0;
 
-  auto operator<=>(const Stamp&) const = default;
+  auto operator<=>(const HybridTimestamp&) const = default;
 };
 
 /** "MILLIS.COUNTER", of fixed width so that texts sort as stamps do. */
 std::string
-ToText(Stamp aStamp);
+ToText(HybridTimestamp aStamp);
 
 /** Thread safety: all methods may be called from any thread. */
 class HybridClock
 {
 public:
   /** A stamp later than all this clock gave or saw. */
-  Stamp Next(TimePoint aWall);
+  HybridTimestamp Next(TimePoint aWall);
   /** Takes in a stamp from another process. */
-  void Observe(Stamp aRemote);
+  void Observe(HybridTimestamp aRemote);
 
 private:
   std::mutex mutex;
--- a/src/base/LogWriter.cpp
+++ b/src/base/LogWriter.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 bool
-CanWrite(int aDescriptor)
+IsWritable(int aDescriptor)
 {
   pollfd wanted{ aDescriptor, POLLOUT, 0 };
   return ::poll(&wanted, 1, 0) == 1 && (wanted.revents & POLLOUT) != 0;
@@ -21,19 +21,20 @@
 LogWriter::Write(std::string_view aLine)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  if (this->kept.size() + aLine.size() + 1 > kMostKept) {
-    ++this->dropped;
-    ++this->unsaid;
+  if (this->pending.size() + aLine.size() + 1 > kMaxBufferedBytes) {
+    ++this->droppedLines;
+    ++this->unreportedLines;
     return;
   }
-  if (this->unsaid > 0) {
-    this->kept += "event=log.dropped lines=" + std::to_string(this->unsaid);
-    this->kept += '\n';
-    this->unsaid = 0;
+  if (this->unreportedLines > 0) {
+    this->pending +=
+      "event=log.dropped lines=" + std::to_string(this->unreportedLines);
+    this->pending += '\n';
+    this->unreportedLines = 0;
   }
-  this->kept += aLine;
-  this->kept += '\n';
-  if (this->kept.size() > this->gather) {
+  this->pending += aLine;
+  this->pending += '\n';
+  if (this->pending.size() > this->flushThreshold) {
     this->FlushLocked();
   }
 }
@@ -49,16 +50,17 @@
 LogWriter::FlushLocked()
 {
   std::size_t written = 0;
-  while (written < this->kept.size() && CanWrite(this->descriptor)) {
-    const std::size_t block = std::min(kBlock, this->kept.size() - written);
+  while (written < this->pending.size() && IsWritable(this->descriptor)) {
+    const std::size_t block =
+      std::min(kMaxWriteBytes, this->pending.size() - written);
     const ssize_t took =
-      ::write(this->descriptor, this->kept.data() + written, block);
+      ::write(this->descriptor, this->pending.data() + written, block);
     if (took <= 0) {
       break;
     }
     written += static_cast<std::size_t>(took);
   }
-  this->kept.erase(0, written);
+  this->pending.erase(0, written);
 }
 
 } // namespace toucanshed
--- a/src/base/LogWriter.h
+++ b/src/base/LogWriter.h
@@ -23,15 +23,15 @@
 {
 public:
   /** Bytes kept for a reader that is slow. */
-  static constexpr std::size_t kMostKept = 256U << 10U;
+  static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
   /** Bytes that a pipe takes whole once it says that it can be written to. */
-  static constexpr std::size_t kBlock = 4096;
+  static constexpr std::size_t kMaxWriteBytes = 4096;
 
   /** \param aGather bytes to gather before a write is tried; fewer system
    *   calls, but whoever sets it must call Flush regularly. */
   explicit LogWriter(int aDescriptor, std::size_t aGather = 0)
     : descriptor(aDescriptor)
-    , gather(aGather)
+    , flushThreshold(aGather)
   {
   }
 
@@ -40,17 +40,20 @@
   /** Writes what the descriptor takes now. */
   void Flush();
 
-  [[nodiscard]] std::uint64_t Dropped() const { return this->dropped; }
+  [[nodiscard]] std::uint64_t DroppedLines() const
+  {
+    return this->droppedLines;
+  }
 
 private:
   void FlushLocked();
 
   int descriptor;
-  std::size_t gather;
+  std::size_t flushThreshold;
   std::mutex mutex;
-  std::string kept;
-  std::uint64_t dropped = 0;
-  std::uint64_t unsaid = 0; // of dropped, not yet said in the log
+  std::string pending;
+  std::uint64_t droppedLines = 0;
+  std::uint64_t unreportedLines = 0; // of dropped, not yet said in the log
 };
 
 } // namespace toucanshed
--- a/src/base/Random.h
+++ b/src/base/Random.h
@@ -27,10 +27,16 @@
   }
 
   /** Uniform in [0, aBelow). Precondition: aBelow > 0. */
-  std::uint64_t Below(std::uint64_t aBelow) { return this->Next() % aBelow; }
+  std::uint64_t NextBelow(std::uint64_t aBelow)
+  {
+    return this->Next() % aBelow;
+  }
 
   /** Uniform in [0, 1). */
-  double Unit() { return static_cast<double>(this->Next() >> 11U) * 0x1.0p-53; }
+  double NextUnit()
+  {
+    return static_cast<double>(this->Next() >> 11U) * 0x1.0p-53;
+  }
 
 private:
   std::uint64_t state;
--- a/src/base/RequestRate.h
+++ b/src/base/RequestRate.h
@@ -9,7 +9,7 @@
 
 struct RequestRate
 {
-  double perS = 0;
+  double perSecond = 0;
 
   auto operator<=>(const RequestRate&) const = default;
 };
--- a/src/base/Types.h
+++ b/src/base/Types.h
@@ -19,7 +19,7 @@
 using RequestId = StrongId<struct RequestTag>;
 using AttemptId = StrongId<struct AttemptTag>;
 /** A caller's Idempotency-Key, qualified by team and service. */
-using CallKey = StrongId<struct CallKeyTag>;
+using IdempotencyKey = StrongId<struct IdempotencyKeyTag>;
 using WorkId = StrongId<struct WorkTag>;
 /** One life of a daemon: "id/incarnation". Writers of log records are named
  * by it, so that a restarted daemon is another writer. */
--- a/src/base/Complaint.cpp
+++ b/src/base/ValidationError.cpp
@@ -1,12 +1,12 @@
-#include "Complaint.h"
+#include "ValidationError.h"
 
 namespace toucanshed {
 
 std::string
-Describe(const std::vector<Complaint>& aComplaints)
+FormatValidationErrors(const std::vector<ValidationError>& aComplaints)
 {
   std::string text;
-  for (const Complaint& complaint : aComplaints) {
+  for (const ValidationError& complaint : aComplaints) {
     text += complaint.path + ": given " + complaint.given + ", allowed " +
             complaint.allowed + "\n";
   }
--- a/src/base/Complaint.h
+++ b/src/base/ValidationError.h
@@ -9,7 +9,7 @@
 
 namespace toucanshed {
 
-struct Complaint
+struct ValidationError
 {
   std::string path;
   std::string given;
@@ -18,6 +18,6 @@
 
 /** "path: given X, allowed Y", one line a complaint. */
 std::string
-Describe(const std::vector<Complaint>& aComplaints);
+FormatValidationErrors(const std::vector<ValidationError>& aComplaints);
 
 } // namespace toucanshed
--- a/src/cli/Client.cpp
+++ b/src/cli/Client.cpp
@@ -11,7 +11,7 @@
 CallAndStop(WorkerPool& aPool,
             Endpoint aEndpoint,
             HttpRequest aRequest,
-            Result<HttpReply>& aResult)
+            Result<HttpResponse>& aResult)
 {
   CallTimeouts timeouts;
   timeouts.connect = std::chrono::seconds(2);
@@ -29,14 +29,14 @@
 
 } // namespace
 
-Result<HttpReply>
+Result<HttpResponse>
 CallDaemon(const std::string& aAddress, HttpRequest aRequest)
 {
   const auto endpoint = ParseEndpoint(aAddress);
   if (!endpoint) {
     return tl::unexpected<Error>(endpoint.error());
   }
-  Result<HttpReply> result = Fail(ErrorCode::eUnavailable, "no answer");
+  Result<HttpResponse> result = Fail(ErrorCode::eUnavailable, "no answer");
   WorkerPool pool(1);
   pool.First().Spawn(CallAndStop(pool, *endpoint, std::move(aRequest), result));
   pool.Run();
--- a/src/cli/Client.h
+++ b/src/cli/Client.h
@@ -12,7 +12,7 @@
 
 /** Sends one request to IP:PORT and waits for the whole answer.
  * Thread safety: may be called from any thread. */
-Result<HttpReply>
+Result<HttpResponse>
 CallDaemon(const std::string& aAddress, HttpRequest aRequest);
 
 /** GET of a page; an answer other than 200 is an error. */
--- a/src/cli/Commands.cpp
+++ b/src/cli/Commands.cpp
@@ -1,12 +1,12 @@
 #include "Commands.h"
 
 #include "Client.h"
-#include "Report.h"
+#include "ReportHtml.h"
 #include "ReportJson.h"
-#include "ReportPage.h"
+#include "SloReport.h"
 #include "StatusView.h"
 #include "Timeline.h"
-#include "coord/Document.h"
+#include "coord/DocumentValidation.h"
 #include "daemon/Settings.h"
 #include "edge/Json.h"
 #include "records.pb.h"
@@ -37,14 +37,14 @@
 }
 
 ExitCode
-Complain(const Error& aError, ExitCode aCode)
+PrintError(const Error& aError, ExitCode aCode)
 {
   std::cerr << "toucanshed: " << aError.message << "\n";
   return aCode;
 }
 
 Result<std::uint64_t>
-RevisionOf(const std::string& aDaemon, const std::string& aService)
+FetchRevision(const std::string& aDaemon, const std::string& aService)
 {
   const auto page = GetPage(aDaemon, "/config");
   if (!page) {
@@ -59,24 +59,24 @@
 }
 
 ExitCode
-ReportApplied(const std::string& aService, const HttpReply& aReply)
+PrintApplyResult(const std::string& aService, const HttpResponse& aReply)
 {
   constexpr unsigned kOk = 200;
   constexpr unsigned kConflict = 409;
   const auto answer = ParseJsonObject(aReply.body());
   if (!answer) {
-    return Complain(Error{ ErrorCode::eProtocol,
-                           "the daemon's answer is no "
-                           "JSON object" },
-                    ExitCode::eUnreachable);
+    return PrintError(Error{ ErrorCode::eProtocol,
+                             "the daemon's answer is no "
+                             "JSON object" },
+                      ExitCode::eUnreachable);
   }
   if (aReply.result_int() != kOk) {
     std::cerr << aService << ": refused: " << StringOf(*answer, "error")
               << "\n";
     if (aReply.result_int() == kConflict) {
-      return ExitCode::eRefused;
+      return ExitCode::eConflict;
     }
-    return aReply.result_int() < 500 ? ExitCode::eMistakes
+    return aReply.result_int() < 500 ? ExitCode::eInvalidFile
                                      : ExitCode::eUnreachable;
   }
   std::cout << aService << ": revision " << NumberOf(*answer, "revision");
@@ -94,19 +94,20 @@
     std::cout << " " << id.as_string().c_str();
   }
   std::cout << "\n";
-  return ExitCode::eBehind;
+  return ExitCode::eNotAppliedEverywhere;
 }
 
 ExitCode
-ApplyOne(const ApplyOptions& aOptions, const config::ServiceDocument& aDocument)
+ApplyDocument(const ApplyOptions& aOptions,
+              const config::ServiceDocument& aDocument)
 {
   records::ConfigChange change;
-  if (aOptions.hasBase) {
-    change.set_base_revision(aOptions.base);
+  if (aOptions.hasBaseRevision) {
+    change.set_base_revision(aOptions.baseRevision);
   } else {
-    const auto base = RevisionOf(aOptions.daemon, aDocument.service());
+    const auto base = FetchRevision(aOptions.daemon, aDocument.service());
     if (!base) {
-      return Complain(base.error(), ExitCode::eUnreachable);
+      return PrintError(base.error(), ExitCode::eUnreachable);
     }
     change.set_base_revision(*base);
   }
@@ -119,9 +120,9 @@
     MakeRequest(
       http::verb::post, aOptions.wait ? "/config?wait=1" : "/config", body));
   if (!reply) {
-    return Complain(reply.error(), ExitCode::eUnreachable);
+    return PrintError(reply.error(), ExitCode::eUnreachable);
   }
-  return ReportApplied(aDocument.service(), *reply);
+  return PrintApplyResult(aDocument.service(), *reply);
 }
 
 } // namespace
@@ -131,9 +132,9 @@
 {
   const auto text = ReadFile(aPath);
   if (!text) {
-    return Complain(text.error(), ExitCode::eMistakes);
+    return PrintError(text.error(), ExitCode::eInvalidFile);
   }
-  std::vector<Complaint> complaints;
+  std::vector<ValidationError> complaints;
   if (aSettings) {
     const auto parsed = ParseSettings(*text);
     complaints = parsed ? complaints : parsed.error();
@@ -145,8 +146,8 @@
     std::cout << aPath << ": valid\n";
     return ExitCode::eOk;
   }
-  std::cerr << Describe(complaints);
-  return ExitCode::eMistakes;
+  std::cerr << FormatValidationErrors(complaints);
+  return ExitCode::eInvalidFile;
 }
 
 ExitCode
@@ -154,15 +155,15 @@
 {
   const auto text = ReadFile(aOptions.path);
   if (!text) {
-    return Complain(text.error(), ExitCode::eMistakes);
+    return PrintError(text.error(), ExitCode::eInvalidFile);
   }
   const auto parsed = ParseConfiguration(*text);
   if (!parsed) {
-    std::cerr << Describe(parsed.error());
-    return ExitCode::eMistakes;
+    std::cerr << FormatValidationErrors(parsed.error());
+    return ExitCode::eInvalidFile;
   }
   for (const config::ServiceDocument& document : parsed->services()) {
-    const ExitCode code = ApplyOne(aOptions, document);
+    const ExitCode code = ApplyDocument(aOptions, document);
     if (code != ExitCode::eOk) {
       return code;
     }
@@ -175,7 +176,7 @@
 {
   const auto page = GetPage(aDaemon, "/status");
   if (!page) {
-    return Complain(page.error(), ExitCode::eUnreachable);
+    return PrintError(page.error(), ExitCode::eUnreachable);
   }
   const auto status = ParseJsonObject(*page);
   std::cout << (status ? RenderStatus(*status) : *page);
@@ -183,47 +184,47 @@
 }
 
 ExitCode
-RunMoves(const std::string& aDaemon)
+RunRollouts(const std::string& aDaemon)
 {
   const auto page = GetPage(aDaemon, "/moves");
   if (!page) {
-    return Complain(page.error(), ExitCode::eUnreachable);
+    return PrintError(page.error(), ExitCode::eUnreachable);
   }
-  std::cout << RenderMoves(json::parse(*page).as_array());
+  std::cout << RenderRollouts(json::parse(*page).as_array());
   return ExitCode::eOk;
 }
 
 ExitCode
 RunReport(const std::vector<std::string>& aFiles, const std::string& aFolder)
 {
-  ReportEvents events;
+  LogEvents events;
   for (const std::string& path : aFiles) {
     std::ifstream file(path);
-    ReadReportEvents(path, file, events);
+    ReadLogEvents(path, file, events);
   }
-  const Report report = MakeReport(events);
+  const SloReport report = MakeSloReport(events);
   std::error_code error;
   std::filesystem::create_directories(aFolder, error);
   const std::filesystem::path folder(aFolder);
   std::ofstream page(folder / "report.html");
-  page << RenderReportPage(report);
+  page << RenderReportHtml(report);
   std::ofstream data(folder / "report.json");
   data << RenderReportJson(report);
   if (!page.flush() || !data.flush()) {
     std::cerr << "toucanshed: cannot write to " << aFolder << "\n";
     return ExitCode::eUsage;
   }
-  std::cout << report.all.asked << " requests from " << report.lines
+  std::cout << report.all.total << " requests from " << report.eventLines
             << " events, " << report.all.onTime << " on time, "
-            << report.bad.size()
+            << report.unreadable.size()
             << " lines unreadable: " << (folder / "report.html").string()
             << "\n";
-  for (const BadLine& bad : report.bad) {
+  for (const UnreadableLine& bad : report.unreadable) {
     if (bad.line == 0) {
       std::cerr << "toucanshed: " << bad.file << ": " << bad.reason << "\n";
     }
   }
-  return report.lines == 0 ? ExitCode::eMistakes : ExitCode::eOk;
+  return report.eventLines == 0 ? ExitCode::eInvalidFile : ExitCode::eOk;
 }
 
 ExitCode
@@ -242,7 +243,7 @@
     const auto page = GetPage(daemon, "/events");
     if (!page) {
       // The others' events are worth having without it.
-      Complain(page.error(), ExitCode::eUnreachable);
+      PrintError(page.error(), ExitCode::eUnreachable);
       continue;
     }
     add(*page);
@@ -250,7 +251,7 @@
   for (const std::string& path : aFiles) {
     const auto text = ReadFile(path);
     if (!text) {
-      return Complain(text.error(), ExitCode::eMistakes);
+      return PrintError(text.error(), ExitCode::eInvalidFile);
     }
     add(*text);
   }
--- a/src/cli/Commands.h
+++ b/src/cli/Commands.h
@@ -13,11 +13,11 @@
 enum class ExitCode
 {
   eOk = 0,
-  eUsage = 2,       // wrong command line
-  eMistakes = 3,    // a file with mistakes, each named
-  eRefused = 4,     // another change was first
-  eUnreachable = 5, // a daemon or the log does not answer
-  eBehind = 6,      // in force, but not everywhere in time
+  eUsage = 2,                // wrong command line
+  eInvalidFile = 3,          // a file with mistakes, each named
+  eConflict = 4,             // another change was first
+  eUnreachable = 5,          // a daemon or the log does not answer
+  eNotAppliedEverywhere = 6, // in force, but not everywhere in time
 };
 
 ExitCode
@@ -29,8 +29,8 @@
   std::string daemon;
   std::string author;
   bool wait = false;
-  bool hasBase = false;
-  std::uint64_t base = 0;
+  bool hasBaseRevision = false;
+  std::uint64_t baseRevision = 0;
 };
 
 /** Applies each document of the file in turn; stops at the first refusal. */
@@ -41,7 +41,7 @@
 RunStatus(const std::string& aDaemon);
 
 ExitCode
-RunMoves(const std::string& aDaemon);
+RunRollouts(const std::string& aDaemon);
 
 /** Writes report.html and report.json from log files into a folder, which is
  * made if it is missing. */
--- a/src/cli/ReportEvents.cpp
+++ b/src/cli/LogEvents.cpp
@@ -1,4 +1,4 @@
-#include "ReportEvents.h"
+#include "LogEvents.h"
 
 #include "Timeline.h"
 
@@ -32,38 +32,38 @@
 }
 
 std::int64_t
-NumberOr0(const Fields& aFields, const std::string& aKey)
+NumberOrZero(const Fields& aFields, const std::string& aKey)
 {
   return NumberOf(aFields, aKey).value_or(0);
 }
 
-std::optional<RequestEnd>
+std::optional<RequestRecord>
 ParseRequest(const Fields& aFields, TimePoint aAt)
 {
   const auto status = NumberOf(aFields, "status");
   if (!status || TextOf(aFields, "request").empty()) {
     return std::nullopt;
   }
-  RequestEnd end;
+  RequestRecord end;
   end.request = TextOf(aFields, "request");
   end.daemon = TextOf(aFields, "process");
   end.route = TextOf(aFields, "route");
   end.team = TextOf(aFields, "team");
   end.backend = TextOf(aFields, "backend");
-  end.why = TextOf(aFields, "why");
-  end.part = TextOf(aFields, "shared_part");
-  end.at = aAt - Millis(NumberOr0(aFields, "ms"));
+  end.reason = TextOf(aFields, "why");
+  end.sharedSection = TextOf(aFields, "shared_part");
+  end.arrivedAt = aAt - Millis(NumberOrZero(aFields, "ms"));
   end.endedAt = aAt;
   end.status = static_cast<unsigned>(*status);
-  end.sends = static_cast<unsigned>(NumberOr0(aFields, "sends"));
-  end.firstMs = NumberOr0(aFields, "first_ms");
-  end.targetMs = NumberOr0(aFields, "target_ms");
-  end.gapMs = NumberOr0(aFields, "gap_ms");
-  end.gapTargetMs = NumberOr0(aFields, "gap_target_ms");
-  end.expectedMs = NumberOr0(aFields, "expected_ms");
-  end.aheadTokens = NumberOr0(aFields, "ahead_tokens");
-  end.sharedTokens = NumberOr0(aFields, "shared_tokens");
-  end.sharedRead = NumberOr0(aFields, "shared_read") != 0;
+  end.sends = static_cast<unsigned>(NumberOrZero(aFields, "sends"));
+  end.firstTokenMs = NumberOrZero(aFields, "first_ms");
+  end.firstTokenTargetMs = NumberOrZero(aFields, "target_ms");
+  end.maxTokenGapMs = NumberOrZero(aFields, "gap_ms");
+  end.tokenGapTargetMs = NumberOrZero(aFields, "gap_target_ms");
+  end.expectedFirstTokenMs = NumberOrZero(aFields, "expected_ms");
+  end.queuedTokens = NumberOrZero(aFields, "ahead_tokens");
+  end.sharedTokens = NumberOrZero(aFields, "shared_tokens");
+  end.sharedPrefilled = NumberOrZero(aFields, "shared_read") != 0;
   return end;
 }
 
@@ -85,7 +85,7 @@
 
 /** \return whether the event could be read. */
 bool
-TakeEvent(const Fields& aFields, TimePoint aAt, ReportEvents& aEvents)
+AddEvent(const Fields& aFields, TimePoint aAt, LogEvents& aEvents)
 {
   const std::string event = TextOf(aFields, "event");
   if (event == "request.ended" || event == "request.refused") {
@@ -96,40 +96,40 @@
     return request.has_value();
   }
   if (event == "request.sent") {
-    aEvents.sends.push_back(SendEnd{ TextOf(aFields, "request"),
-                                     TextOf(aFields, "backend"),
-                                     TextOf(aFields, "outcome"),
-                                     TextOf(aFields, "why") });
+    aEvents.sends.push_back(SendRecord{ TextOf(aFields, "request"),
+                                        TextOf(aFields, "backend"),
+                                        TextOf(aFields, "outcome"),
+                                        TextOf(aFields, "why") });
     return true;
   }
   if (event == "backend.listed") {
     const auto stage = ParseStage(aFields);
     if (stage) {
-      aEvents.engines.push_back(EngineChange{ TextOf(aFields, "backend"),
-                                              TextOf(aFields, "service"),
-                                              TextOf(aFields, "zone"),
-                                              *stage,
-                                              aAt });
+      aEvents.engineChanges.push_back(EngineChange{ TextOf(aFields, "backend"),
+                                                    TextOf(aFields, "service"),
+                                                    TextOf(aFields, "zone"),
+                                                    *stage,
+                                                    aAt });
     }
     return stage.has_value();
   }
   if (event == "backend.crashed") {
-    aEvents.engines.push_back(EngineChange{
+    aEvents.engineChanges.push_back(EngineChange{
       TextOf(aFields, "backend"), {}, {}, EngineStage::eCrashed, aAt });
     return true;
   }
   if (event == "engines.ordered") {
     constexpr std::int64_t kOk = 200;
-    aEvents.orders.push_back(
-      EngineOrdered{ TextOf(aFields, "zone"),
-                     NumberOr0(aFields, "desired"),
-                     NumberOr0(aFields, "reclaimable") != 0,
-                     NumberOr0(aFields, "status") == kOk,
-                     aAt });
+    aEvents.scaleOrders.push_back(
+      LoggedScaleOrder{ TextOf(aFields, "zone"),
+                        NumberOrZero(aFields, "desired"),
+                        NumberOrZero(aFields, "reclaimable") != 0,
+                        NumberOrZero(aFields, "status") == kOk,
+                        aAt });
     return true;
   }
   if (event == "daemon.started") {
-    aEvents.starts.push_back(
+    aEvents.daemonStarts.push_back(
       DaemonStart{ TextOf(aFields, "process"), TextOf(aFields, "zone"), aAt });
   }
   return !event.empty();
@@ -138,12 +138,13 @@
 } // namespace
 
 void
-ReadReportEvents(const std::string& aFile,
-                 std::istream& aInput,
-                 ReportEvents& aEvents)
+ReadLogEvents(const std::string& aFile,
+              std::istream& aInput,
+              LogEvents& aEvents)
 {
   if (!aInput) {
-    aEvents.bad.push_back(BadLine{ aFile, 0, "cannot be opened" });
+    aEvents.unreadable.push_back(
+      UnreadableLine{ aFile, 0, "cannot be opened" });
     return;
   }
   std::string line;
@@ -156,26 +157,27 @@
       begin != std::string::npos && line.find("event=") != std::string::npos;
     if (!ours) {
       if (!line.empty()) {
-        aEvents.bad.push_back(BadLine{ aFile, number, "not an event" });
+        aEvents.unreadable.push_back(
+          UnreadableLine{ aFile, number, "not an event" });
       }
       continue;
     }
-    ++aEvents.lines;
+    ++aEvents.eventLines;
     Fields fields;
-    for (auto& [key, value] : SplitEvent(line.substr(begin))) {
+    for (auto& [key, value] : ParseEventLine(line.substr(begin))) {
       fields.emplace(key, value);
     }
     const auto at = NumberOf(fields, "at");
     const bool taken =
-      at && TakeEvent(fields, TimePoint{ at.value_or(0) }, aEvents);
+      at && AddEvent(fields, TimePoint{ at.value_or(0) }, aEvents);
     if (!taken) {
       const bool cut = aInput.eof();
-      aEvents.bad.push_back(BadLine{
+      aEvents.unreadable.push_back(UnreadableLine{
         aFile, number, cut ? "cut at the file's end" : "fields missing" });
     }
   }
   if (number == 0) {
-    aEvents.bad.push_back(BadLine{ aFile, 0, "empty" });
+    aEvents.unreadable.push_back(UnreadableLine{ aFile, 0, "empty" });
   }
 }
 
--- a/src/cli/ReportEvents.h
+++ b/src/cli/LogEvents.h
@@ -12,36 +12,36 @@
 namespace toucanshed {
 
 /** A request that ended or was refused. */
-struct RequestEnd
+struct RequestRecord
 {
   std::string request;
   std::string daemon;
   std::string route;
   std::string team;
   std::string backend; // the last one it was sent to
-  std::string why;
-  std::string part;    // the longest that its prompt shares with others
-  TimePoint at;        // of its arrival
-  TimePoint endedAt;   // of the event
-  unsigned status = 0; // 0: its caller left
+  std::string reason;
+  std::string sharedSection; // the longest that its prompt shares with others
+  TimePoint arrivedAt;       // of its arrival
+  TimePoint endedAt;         // of the event
+  unsigned status = 0;       // 0: its caller left
   unsigned sends = 0;
-  std::int64_t firstMs = 0;
-  std::int64_t targetMs = 0;    // 0: not known
-  std::int64_t gapMs = 0;       // longest pause between two pieces
-  std::int64_t gapTargetMs = 0; // 0: none
-  std::int64_t expectedMs = 0;  // of the last send
-  std::int64_t aheadTokens = 0;
+  std::int64_t firstTokenMs = 0;
+  std::int64_t firstTokenTargetMs = 0;   // 0: not known
+  std::int64_t maxTokenGapMs = 0;        // longest pause between two pieces
+  std::int64_t tokenGapTargetMs = 0;     // 0: none
+  std::int64_t expectedFirstTokenMs = 0; // of the last send
+  std::int64_t queuedTokens = 0;
   std::int64_t sharedTokens = 0; // of its prompt
-  bool sharedRead = false;       // they were to be read by the engine
+  bool sharedPrefilled = false;  // they were to be read by the engine
 };
 
 /** A send that was not simply answered. */
-struct SendEnd
+struct SendRecord
 {
   std::string request;
   std::string backend;
   std::string outcome;
-  std::string why;
+  std::string reason;
 };
 
 enum class EngineStage
@@ -57,15 +57,15 @@
 {
   std::string backend;
   std::string service;
-  std::string domain;
+  std::string zone;
   EngineStage stage = EngineStage::eListed;
   TimePoint at;
 };
 
 /** Engines that were ordered. */
-struct EngineOrdered
+struct LoggedScaleOrder
 {
-  std::string domain;
+  std::string zone;
   std::int64_t desired = 0;
   bool reclaimable = false;
   bool accepted = false;
@@ -76,35 +76,35 @@
 struct DaemonStart
 {
   std::string daemon;
-  std::string domain;
+  std::string zone;
   TimePoint at;
 };
 
 /** A line that cannot be used. */
-struct BadLine
+struct UnreadableLine
 {
   std::string file;
   std::size_t line = 0; // from 1; 0: the file as a whole
   std::string reason;
 };
 
-struct ReportEvents
+struct LogEvents
 {
-  std::vector<RequestEnd> requests;
-  std::vector<SendEnd> sends;
-  std::vector<EngineChange> engines;
-  std::vector<EngineOrdered> orders;
-  std::vector<DaemonStart> starts;
-  std::vector<BadLine> bad;
-  std::size_t lines = 0;
+  std::vector<RequestRecord> requests;
+  std::vector<SendRecord> sends;
+  std::vector<EngineChange> engineChanges;
+  std::vector<LoggedScaleOrder> scaleOrders;
+  std::vector<DaemonStart> daemonStarts;
+  std::vector<UnreadableLine> unreadable;
+  std::size_t eventLines = 0;
 };
 
 /** Adds a file's events. Lines that cannot be read are noted by file and
  * number, and the rest still counts.
  * Thread safety: none; aEvents belongs to the caller. */
 void
-ReadReportEvents(const std::string& aFile,
-                 std::istream& aInput,
-                 ReportEvents& aEvents);
+ReadLogEvents(const std::string& aFile,
+              std::istream& aInput,
+              LogEvents& aEvents);
 
 } // namespace toucanshed
--- a/src/cli/ReportPage.cpp
+++ b/src/cli/ReportHtml.cpp
@@ -1,6 +1,6 @@
-#include "ReportPage.h"
+#include "ReportHtml.h"
 
-#include "Report.h"
+#include "SloReport.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr double kWidth = 900;
-constexpr double kHeight = 150;
-constexpr double kLeft = 60; // for the figures beside a plot
+constexpr double kPlotWidth = 900;
+constexpr double kPlotHeight = 150;
+constexpr double kPlotLeft = 60; // for the figures beside a plot
 constexpr double kMillisPerSecond = 1000;
 /** Unreadable lines that are named; the JSON has all. */
-constexpr std::size_t kMostBadShown = 20;
+constexpr std::size_t kMaxUnreadableShown = 20;
 /** Lost requests that are shown for each reason, to follow in the logs. */
-constexpr std::size_t kMostLostShown = 3;
+constexpr std::size_t kMaxExamplesPerReason = 3;
 
-constexpr const char* kHead =
+constexpr const char* kPageHead =
   "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">"
   "<title>toucanshed report</title><style>"
   "body{font:14px sans-serif;margin:2em;max-width:70em}"
@@ -30,13 +30,13 @@
   "<h1>Requests and their engines</h1>";
 
 /** One colour a reason, and for the lines of a plot. */
-constexpr std::array<const char*, kLossReasons> kColours{
+constexpr std::array<const char*, kSloMissReasonCount> kColours{
   "#1f77b4", "#ff7f0e", "#d62728", "#9467bd", "#8c564b", "#e377c2",
   "#2ca02c", "#bcbd22", "#17becf", "#7f7f7f", "#aec7e8", "#c7c7c7"
 };
 
 std::string
-Text(double aValue)
+FormatNumber(double aValue)
 {
   char text[32];
   std::snprintf(text, sizeof(text), "%.1f", aValue);
@@ -73,59 +73,64 @@
 };
 
 /** A plot's frame: its height stands for aMost, its width for all windows. */
-struct Frame
+struct PlotFrame
 {
-  double most = 1;
-  std::size_t windows = 1;
+  double maxValue = 1;
+  std::size_t windowCount = 1;
 
   [[nodiscard]] double X(double aWindow) const
   {
-    const auto count = static_cast<double>(std::max<std::size_t>(1, windows));
-    return kLeft + (kWidth - kLeft) * aWindow / count;
+    const auto count =
+      static_cast<double>(std::max<std::size_t>(1, windowCount));
+    return kPlotLeft + (kPlotWidth - kPlotLeft) * aWindow / count;
   }
   [[nodiscard]] double Y(double aValue) const
   {
-    return kHeight * (1 - aValue / this->most);
+    return kPlotHeight * (1 - aValue / this->maxValue);
   }
 };
 
 std::string
-Label(double aX, double aY, const std::string& aText)
+TextLabel(double aX, double aY, const std::string& aText)
 {
-  return "<text x=\"" + Text(aX) + "\" y=\"" + Text(aY) + "\">" + aText +
-         "</text>";
+  return "<text x=\"" + FormatNumber(aX) + "\" y=\"" + FormatNumber(aY) +
+         "\">" + aText + "</text>";
 }
 
 /** Opens a plot with its title, scale and time axis. */
 std::string
-Open(const std::string& aTitle,
-     const Frame& aFrame,
-     const std::vector<ReportWindow>& aWindows)
+BeginPlot(const std::string& aTitle,
+          const PlotFrame& aFrame,
+          const std::vector<ReportWindow>& aWindows)
 {
   constexpr double kBelow = 36; // for the axis and the legend
   constexpr std::size_t kMarks = 10;
-  std::string svg = "<h3>" + aTitle + "</h3><svg width=\"" + Text(kWidth) +
-                    "\" height=\"" + Text(kHeight + kBelow) + "\">";
-  svg += "<rect x=\"" + Text(kLeft) + "\" y=\"0\" width=\"" +
-         Text(kWidth - kLeft) + "\" height=\"" + Text(kHeight) +
-         "\" fill=\"#f7f7f7\"/>";
-  svg += Label(0, 11, Text(aFrame.most)) + Label(0, kHeight, "0");
+  std::string svg = "<h3>" + aTitle + "</h3><svg width=\"" +
+                    FormatNumber(kPlotWidth) + "\" height=\"" +
+                    FormatNumber(kPlotHeight + kBelow) + "\">";
+  svg += "<rect x=\"" + FormatNumber(kPlotLeft) + "\" y=\"0\" width=\"" +
+         FormatNumber(kPlotWidth - kPlotLeft) + "\" height=\"" +
+         FormatNumber(kPlotHeight) + "\" fill=\"#f7f7f7\"/>";
+  svg += TextLabel(0, 11, FormatNumber(aFrame.maxValue)) +
+         TextLabel(0, kPlotHeight, "0");
   const std::size_t step = std::max<std::size_t>(1, aWindows.size() / kMarks);
   for (std::size_t i = 0; i < aWindows.size(); i += step) {
     const auto seconds =
       static_cast<double>(aWindows[i].startMs) / kMillisPerSecond;
-    svg += Label(
-      aFrame.X(static_cast<double>(i)), kHeight + 14, Text(seconds) + " s");
+    svg += TextLabel(aFrame.X(static_cast<double>(i)),
+                     kPlotHeight + 14,
+                     FormatNumber(seconds) + " s");
   }
   return svg;
 }
 
 std::string
-Legend(double aX, const char* aColour, const std::string& aName)
+LegendEntry(double aX, const char* aColour, const std::string& aName)
 {
-  return "<rect x=\"" + Text(aX) + "\" y=\"" + Text(kHeight + 22) +
+  return "<rect x=\"" + FormatNumber(aX) + "\" y=\"" +
+         FormatNumber(kPlotHeight + 22) +
          "\" width=\"9\" height=\"9\" fill=\"" + aColour + "\"/>" +
-         Label(aX + 13, kHeight + 31, aName);
+         TextLabel(aX + 13, kPlotHeight + 31, aName);
 }
 
 std::string
@@ -134,48 +139,49 @@
          const std::vector<Series>& aSeries)
 {
   constexpr double kLegendWidth = 200;
-  Frame frame{ 1, aWindows.size() };
+  PlotFrame frame{ 1, aWindows.size() };
   for (const Series& series : aSeries) {
     for (const double value : series.values) {
-      frame.most = std::max(frame.most, value);
+      frame.maxValue = std::max(frame.maxValue, value);
     }
   }
-  std::string svg = Open(aTitle, frame, aWindows);
+  std::string svg = BeginPlot(aTitle, frame, aWindows);
   for (std::size_t i = 0; i < aSeries.size(); ++i) {
     const char* colour = kColours.at(i);
     std::string points;
     for (std::size_t at = 0; at < aSeries[i].values.size(); ++at) {
-      points += Text(frame.X(static_cast<double>(at) + 0.5)) + "," +
-                Text(frame.Y(aSeries[i].values[at])) + " ";
+      points += FormatNumber(frame.X(static_cast<double>(at) + 0.5)) + "," +
+                FormatNumber(frame.Y(aSeries[i].values[at])) + " ";
     }
     svg += "<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"" +
            std::string(colour) + "\" points=\"" + points + "\"/>";
-    svg += Legend(
-      kLeft + kLegendWidth * static_cast<double>(i), colour, aSeries[i].name);
+    svg += LegendEntry(kPlotLeft + kLegendWidth * static_cast<double>(i),
+                       colour,
+                       aSeries[i].name);
   }
   return svg + "</svg>";
 }
 
 std::size_t
-LostOf(const RequestCounts& aCounts)
+SloMissCount(const RequestCounts& aCounts)
 {
   return aCounts.late + aCounts.refused + aCounts.failed;
 }
 
 /** Stacked bars: the requests that were not served on time, by reason. */
 std::string
-ReasonPlot(const Report& aReport)
+ReasonPlot(const SloReport& aReport)
 {
-  Frame frame{ 1, aReport.windows.size() };
+  PlotFrame frame{ 1, aReport.windows.size() };
   for (const ReportWindow& window : aReport.windows) {
-    frame.most =
-      std::max(frame.most, static_cast<double>(LostOf(window.counts)));
+    frame.maxValue = std::max(frame.maxValue,
+                              static_cast<double>(SloMissCount(window.counts)));
   }
   std::string svg =
-    Open("Requests not served on time, by reason", frame, aReport.windows);
+    BeginPlot("Requests not served on time, by reason", frame, aReport.windows);
   for (std::size_t at = 0; at < aReport.windows.size(); ++at) {
     double below = 0;
-    for (std::size_t i = 0; i < kLossReasons; ++i) {
+    for (std::size_t i = 0; i < kSloMissReasonCount; ++i) {
       const auto count =
         static_cast<double>(aReport.windows[at].counts.reasons.at(i));
       if (count == 0) {
@@ -183,19 +189,20 @@
       }
       const double left = frame.X(static_cast<double>(at) + 0.1);
       const double right = frame.X(static_cast<double>(at) + 0.9);
-      svg += "<rect x=\"" + Text(left) + "\" y=\"" +
-             Text(frame.Y(below + count)) + "\" width=\"" + Text(right - left) +
-             "\" height=\"" + Text(frame.Y(below) - frame.Y(below + count)) +
+      svg += "<rect x=\"" + FormatNumber(left) + "\" y=\"" +
+             FormatNumber(frame.Y(below + count)) + "\" width=\"" +
+             FormatNumber(right - left) + "\" height=\"" +
+             FormatNumber(frame.Y(below) - frame.Y(below + count)) +
              "\" fill=\"" + kColours.at(i) + "\"/>";
       below += count;
     }
   }
-  double x = kLeft;
-  for (std::size_t i = 0; i < kLossReasons; ++i) {
+  double x = kPlotLeft;
+  for (std::size_t i = 0; i < kSloMissReasonCount; ++i) {
     if (aReport.all.reasons.at(i) > 0) {
       constexpr double kLegendWidth = 105;
-      const std::string name(NameOf(static_cast<LossReason>(i)));
-      svg += Legend(x, kColours.at(i), name);
+      const std::string name(NameOf(static_cast<SloMissReason>(i)));
+      svg += LegendEntry(x, kColours.at(i), name);
       x += kLegendWidth;
     }
   }
@@ -216,18 +223,18 @@
 }
 
 std::string
-Row(const std::string& aName, const RequestCounts& aCounts)
+TableRow(const std::string& aName, const RequestCounts& aCounts)
 {
   std::string reasons;
-  for (std::size_t i = 0; i < kLossReasons; ++i) {
+  for (std::size_t i = 0; i < kSloMissReasonCount; ++i) {
     if (aCounts.reasons.at(i) > 0) {
-      reasons += std::string(NameOf(static_cast<LossReason>(i))) + " " +
+      reasons += std::string(NameOf(static_cast<SloMissReason>(i))) + " " +
                  std::to_string(aCounts.reasons.at(i)) + "  ";
     }
   }
   std::string row =
     "<tr><td>" + Escape(aName.empty() ? "none" : aName) + "</td>";
-  for (const std::size_t count : { aCounts.asked,
+  for (const std::size_t count : { aCounts.total,
                                    aCounts.onTime,
                                    aCounts.late,
                                    aCounts.refused,
@@ -238,54 +245,55 @@
 }
 
 std::string
-Table(const std::string& aTitle, const CountsByName& aCounts)
+CountsTable(const std::string& aTitle, const CountsByName& aCounts)
 {
   std::string table =
     "<h3>" + aTitle +
     "</h3><table><tr><th></th><th>asked</th><th>on time</th><th>late</th>"
     "<th>refused</th><th>failed</th><th>reasons</th></tr>";
   for (const auto& [name, counts] : aCounts) {
-    table += Row(name, counts);
+    table += TableRow(name, counts);
   }
   return table + "</table>";
 }
 
 /** For each reason a few requests, with what to look for in the logs. */
 std::string
-Examples(const Report& aReport)
+ExampleTable(const SloReport& aReport)
 {
   std::string table =
     "<h3>Requests to follow in the logs</h3><table><tr><th>reason</th>"
     "<th>request</th><th>at</th><th>back end</th><th>first token ms</th>"
     "<th>expected ms</th></tr>";
-  std::array<std::size_t, kLossReasons> shown{};
-  for (const LostRequest& lost : aReport.lost) {
+  std::array<std::size_t, kSloMissReasonCount> shown{};
+  for (const SloMiss& lost : aReport.sloMisses) {
     std::size_t& count = shown.at(static_cast<std::size_t>(lost.reason));
-    if (count++ >= kMostLostShown) {
+    if (count++ >= kMaxExamplesPerReason) {
       continue;
     }
-    const double seconds = static_cast<double>(lost.atMs) / kMillisPerSecond;
+    const double seconds =
+      static_cast<double>(lost.arrivalMs) / kMillisPerSecond;
     table += "<tr><td>" + std::string(NameOf(lost.reason)) + "</td><td>" +
-             Escape(lost.request) + "</td><td>" + Text(seconds) +
+             Escape(lost.request) + "</td><td>" + FormatNumber(seconds) +
              " s</td><td>" + Escape(lost.backend) + "</td><td>" +
-             std::to_string(lost.firstMs) + "</td><td>" +
-             std::to_string(lost.expectedMs) + "</td></tr>";
+             std::to_string(lost.firstTokenMs) + "</td><td>" +
+             std::to_string(lost.expectedFirstTokenMs) + "</td></tr>";
   }
   return table + "</table>";
 }
 
 std::string
-BadLines(const Report& aReport)
+UnreadableLineList(const SloReport& aReport)
 {
-  if (aReport.bad.empty()) {
+  if (aReport.unreadable.empty()) {
     return {};
   }
-  std::string list =
-    "<h3>Lines that could not be read: " + std::to_string(aReport.bad.size()) +
-    "</h3><ul>";
-  const std::size_t count = std::min(kMostBadShown, aReport.bad.size());
+  std::string list = "<h3>Lines that could not be read: " +
+                     std::to_string(aReport.unreadable.size()) + "</h3><ul>";
+  const std::size_t count =
+    std::min(kMaxUnreadableShown, aReport.unreadable.size());
   for (std::size_t i = 0; i < count; ++i) {
-    const BadLine& bad = aReport.bad[i];
+    const UnreadableLine& bad = aReport.unreadable[i];
     list += "<li>" + Escape(bad.file) + ", line " + std::to_string(bad.line) +
             ": " + bad.reason + "</li>";
   }
@@ -295,18 +303,20 @@
 } // namespace
 
 std::string
-RenderReportPage(const Report& aReport)
+RenderReportHtml(const SloReport& aReport)
 {
   const std::vector<ReportWindow>& windows = aReport.windows;
-  std::string page = kHead;
-  page += Table("All requests", { { "all", aReport.all } });
+  std::string page = kPageHead;
+  page += CountsTable("All requests", { { "all", aReport.all } });
   page += ReasonPlot(aReport);
   page += LinePlot(
     "Time to the first token, ms",
     windows,
-    { SeriesOf("median", windows, &ReportWindow::firstMsMedian),
-      SeriesOf("95 of 100 below", windows, &ReportWindow::firstMsHigh),
-      SeriesOf("expected, median", windows, &ReportWindow::expectedMsMedian) });
+    { SeriesOf("median", windows, &ReportWindow::firstTokenMsMedian),
+      SeriesOf("95 of 100 below", windows, &ReportWindow::firstTokenMsP95),
+      SeriesOf("expected, median",
+               windows,
+               &ReportWindow::expectedFirstTokenMsMedian) });
   page +=
     LinePlot("Back ends",
              windows,
@@ -316,14 +326,15 @@
   page += LinePlot(
     "Prompt tokens",
     windows,
-    { SeriesOf("ahead of a request", windows, &ReportWindow::aheadTokensMean),
-      SeriesOf(
-        "shared, read again", windows, &ReportWindow::sharedTokensReadAgain) });
-  page += Table("By route", aReport.byRoute);
-  page += Table("By team", aReport.byTeam);
-  page += Table("By failure domain", aReport.byDomain);
-  page += Examples(aReport);
-  page += BadLines(aReport);
+    { SeriesOf("ahead of a request", windows, &ReportWindow::queuedTokensMean),
+      SeriesOf("shared, read again",
+               windows,
+               &ReportWindow::sharedTokensRecomputed) });
+  page += CountsTable("By route", aReport.byRoute);
+  page += CountsTable("By team", aReport.byTeam);
+  page += CountsTable("By failure domain", aReport.byZone);
+  page += ExampleTable(aReport);
+  page += UnreadableLineList(aReport);
   return page + "</body></html>\n";
 }
 
--- a/src/cli/ReportPage.h
+++ b/src/cli/ReportHtml.h
@@ -7,11 +7,11 @@
 
 namespace toucanshed {
 
-struct Report;
+struct SloReport;
 
 /** One page without scripts or anything from the network.
  * Thread safety: pure. */
 std::string
-RenderReportPage(const Report& aReport);
+RenderReportHtml(const SloReport& aReport);
 
 } // namespace toucanshed
--- a/src/cli/ReportJson.cpp
+++ b/src/cli/ReportJson.cpp
@@ -1,6 +1,6 @@
 #include "ReportJson.h"
 
-#include "Report.h"
+#include "SloReport.h"
 
 #include <boost/json.hpp>
 
@@ -11,18 +11,18 @@
 namespace json = boost::json;
 
 std::string_view
-NameOf(RequestFate aFate)
+NameOf(SloOutcome aFate)
 {
   switch (aFate) {
-    case RequestFate::eOnTime:
+    case SloOutcome::eOnTime:
       return "on_time";
-    case RequestFate::eLate:
+    case SloOutcome::eLate:
       return "late";
-    case RequestFate::eRefused:
+    case SloOutcome::eRefused:
       return "refused";
-    case RequestFate::eFailed:
+    case SloOutcome::eFailed:
       return "failed";
-    case RequestFate::eNotCounted:
+    case SloOutcome::eNotCounted:
       return "not_counted";
   }
   return "";
@@ -32,12 +32,12 @@
 ToJson(const RequestCounts& aCounts)
 {
   json::object reasons;
-  for (std::size_t i = 0; i < kLossReasons; ++i) {
+  for (std::size_t i = 0; i < kSloMissReasonCount; ++i) {
     if (aCounts.reasons.at(i) > 0) {
-      reasons[NameOf(static_cast<LossReason>(i))] = aCounts.reasons.at(i);
+      reasons[NameOf(static_cast<SloMissReason>(i))] = aCounts.reasons.at(i);
     }
   }
-  return { { "asked", aCounts.asked },   { "on_time", aCounts.onTime },
+  return { { "asked", aCounts.total },   { "on_time", aCounts.onTime },
            { "late", aCounts.late },     { "refused", aCounts.refused },
            { "failed", aCounts.failed }, { "reasons", std::move(reasons) } };
 }
@@ -57,30 +57,33 @@
 {
   return { { "start_ms", aWindow.startMs },
            { "counts", ToJson(aWindow.counts) },
-           { "first_ms_median", aWindow.firstMsMedian },
-           { "first_ms_p95", aWindow.firstMsHigh },
-           { "expected_ms_median", aWindow.expectedMsMedian },
-           { "ahead_tokens_mean", aWindow.aheadTokensMean },
+           { "first_ms_median", aWindow.firstTokenMsMedian },
+           { "first_ms_p95", aWindow.firstTokenMsP95 },
+           { "expected_ms_median", aWindow.expectedFirstTokenMsMedian },
+           { "ahead_tokens_mean", aWindow.queuedTokensMean },
            { "engines_present", aWindow.enginesPresent },
            { "engines_leaving", aWindow.enginesLeaving },
            { "engines_ordered", aWindow.enginesOrdered },
-           { "shared_tokens_read_again", aWindow.sharedTokensReadAgain } };
+           { "shared_tokens_read_again", aWindow.sharedTokensRecomputed } };
 }
 
 json::object
-ToJson(const LostRequest& aLost)
+ToJson(const SloMiss& aLost)
 {
-  return {
-    { "request", aLost.request },   { "route", aLost.route },
-    { "team", aLost.team },         { "domain", aLost.domain },
-    { "backend", aLost.backend },   { "at_ms", aLost.atMs },
-    { "fate", NameOf(aLost.fate) }, { "reason", NameOf(aLost.reason) },
-    { "first_ms", aLost.firstMs },  { "expected_ms", aLost.expectedMs }
-  };
+  return { { "request", aLost.request },
+           { "route", aLost.route },
+           { "team", aLost.team },
+           { "domain", aLost.zone },
+           { "backend", aLost.backend },
+           { "at_ms", aLost.arrivalMs },
+           { "fate", NameOf(aLost.outcome) },
+           { "reason", NameOf(aLost.reason) },
+           { "first_ms", aLost.firstTokenMs },
+           { "expected_ms", aLost.expectedFirstTokenMs } };
 }
 
 json::object
-ToJson(const BadLine& aBad)
+ToJson(const UnreadableLine& aBad)
 {
   return { { "file", aBad.file },
            { "line", aBad.line },
@@ -101,21 +104,21 @@
 } // namespace
 
 std::string
-RenderReportJson(const Report& aReport)
+RenderReportJson(const SloReport& aReport)
 {
   json::object again;
-  for (const auto& [backend, tokens] : aReport.readAgainByBackend) {
+  for (const auto& [backend, tokens] : aReport.recomputedTokensByBackend) {
     again[backend] = tokens;
   }
-  const json::object whole{ { "lines", aReport.lines },
+  const json::object whole{ { "lines", aReport.eventLines },
                             { "all", ToJson(aReport.all) },
                             { "by_route", ToJson(aReport.byRoute) },
                             { "by_team", ToJson(aReport.byTeam) },
-                            { "by_domain", ToJson(aReport.byDomain) },
+                            { "by_domain", ToJson(aReport.byZone) },
                             { "windows", ToArray(aReport.windows) },
                             { "read_again_by_backend", std::move(again) },
-                            { "lost", ToArray(aReport.lost) },
-                            { "unreadable", ToArray(aReport.bad) } };
+                            { "lost", ToArray(aReport.sloMisses) },
+                            { "unreadable", ToArray(aReport.unreadable) } };
   return json::serialize(whole) + "\n";
 }
 
--- a/src/cli/ReportJson.h
+++ b/src/cli/ReportJson.h
@@ -7,11 +7,11 @@
 
 namespace toucanshed {
 
-struct Report;
+struct SloReport;
 
 /** Everything that the page shows, and each lost request.
  * Thread safety: pure. */
 std::string
-RenderReportJson(const Report& aReport);
+RenderReportJson(const SloReport& aReport);
 
 } // namespace toucanshed
--- a/src/cli/LossReason.h
+++ b/src/cli/SloMissReason.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "ReportEvents.h"
+#include "LogEvents.h"
 
 #include <map>
 #include <string>
@@ -13,7 +13,7 @@
 namespace toucanshed {
 
 /** How a request ended for its caller. */
-enum class RequestFate
+enum class SloOutcome
 {
   eOnTime,
   eLate,
@@ -23,7 +23,7 @@
 };
 
 /** Why a request was not served on time. */
-enum class LossReason
+enum class SloMissReason
 {
   eBehindPrompts, // other prompts were to be read before its own
   eEngineLeft,
@@ -39,40 +39,40 @@
   eUnexplained,
 };
 
-constexpr std::size_t kLossReasons =
-  static_cast<std::size_t>(LossReason::eUnexplained) + 1;
+constexpr std::size_t kSloMissReasonCount =
+  static_cast<std::size_t>(SloMissReason::eUnexplained) + 1;
 
 /** The one word that the report uses. */
 std::string_view
-NameOf(LossReason aReason);
+NameOf(SloMissReason aReason);
 
 /** When an engine was seen in each stage first. */
-struct EngineLife
+struct EngineHistory
 {
-  std::map<EngineStage, TimePoint> first;
+  std::map<EngineStage, TimePoint> firstSeenAt;
   std::string service;
 };
 
-using EngineLives = std::map<std::string, EngineLife>;
+using EngineHistories = std::map<std::string, EngineHistory>;
 
 /** Thread safety: pure, like all functions here. */
-EngineLives
-LivesOf(const ReportEvents& aEvents);
+EngineHistories
+EngineHistoriesOf(const LogEvents& aEvents);
 
 /** Of a request that was sent more than once, how its first send ended. */
-using FirstSends = std::map<std::string, SendEnd>;
+using FirstFailedSends = std::map<std::string, SendRecord>;
 
-FirstSends
-FirstSendsOf(const ReportEvents& aEvents);
+FirstFailedSends
+FirstFailedSendsOf(const LogEvents& aEvents);
 
-RequestFate
-FateOf(const RequestEnd& aEnd);
+SloOutcome
+SloOutcomeOf(const RequestRecord& aEnd);
 
 /** Precondition: aFate is that of aEnd; late, refused or failed. */
-LossReason
-ReasonOf(const RequestEnd& aEnd,
-         RequestFate aFate,
-         const EngineLives& aLives,
-         const FirstSends& aSends);
+SloMissReason
+SloMissReasonOf(const RequestRecord& aEnd,
+                SloOutcome aFate,
+                const EngineHistories& aLives,
+                const FirstFailedSends& aSends);
 
 } // namespace toucanshed
--- a/src/cli/Report.h
+++ b/src/cli/SloReport.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "LossReason.h"
+#include "SloMissReason.h"
 
 #include <array>
 #include <map>
@@ -16,12 +16,12 @@
 /** Requests that have something in common. */
 struct RequestCounts
 {
-  std::size_t asked = 0;
+  std::size_t total = 0;
   std::size_t onTime = 0;
   std::size_t late = 0;
   std::size_t refused = 0;
   std::size_t failed = 0;
-  std::array<std::size_t, kLossReasons> reasons{};
+  std::array<std::size_t, kSloMissReasonCount> reasons{};
 };
 
 /** Two seconds of the time that the logs span. */
@@ -29,48 +29,48 @@
 {
   std::int64_t startMs = 0; // from the first request
   RequestCounts counts;
-  std::int64_t firstMsMedian = 0;
-  std::int64_t firstMsHigh = 0; // 95 of 100 are below
-  std::int64_t expectedMsMedian = 0;
-  double aheadTokensMean = 0; // per request, at the engine it went to
+  std::int64_t firstTokenMsMedian = 0;
+  std::int64_t firstTokenMsP95 = 0; // 95 of 100 are below
+  std::int64_t expectedFirstTokenMsMedian = 0;
+  double queuedTokensMean = 0; // per request, at the engine it went to
   std::size_t enginesPresent = 0;
   std::size_t enginesLeaving = 0;
   std::size_t enginesOrdered = 0; // by the orders that stand
-  std::int64_t sharedTokensReadAgain = 0;
+  std::int64_t sharedTokensRecomputed = 0;
 };
 
 /** One request that was not served on time. */
-struct LostRequest
+struct SloMiss
 {
   std::string request;
   std::string route;
   std::string team;
-  std::string domain;
+  std::string zone;
   std::string backend;
-  std::int64_t atMs = 0;
-  RequestFate fate = RequestFate::eLate;
-  LossReason reason = LossReason::eUnexplained;
-  std::int64_t firstMs = 0;
-  std::int64_t expectedMs = 0;
+  std::int64_t arrivalMs = 0;
+  SloOutcome outcome = SloOutcome::eLate;
+  SloMissReason reason = SloMissReason::eUnexplained;
+  std::int64_t firstTokenMs = 0;
+  std::int64_t expectedFirstTokenMs = 0;
 };
 
 using CountsByName = std::map<std::string, RequestCounts>;
 
-struct Report
+struct SloReport
 {
   RequestCounts all;
   CountsByName byRoute;
   CountsByName byTeam;
-  CountsByName byDomain;
+  CountsByName byZone;
   std::vector<ReportWindow> windows;
-  std::vector<LostRequest> lost;
-  std::map<std::string, std::int64_t> readAgainByBackend;
-  std::vector<BadLine> bad;
-  std::size_t lines = 0;
+  std::vector<SloMiss> sloMisses;
+  std::map<std::string, std::int64_t> recomputedTokensByBackend;
+  std::vector<UnreadableLine> unreadable;
+  std::size_t eventLines = 0;
 };
 
 /** Thread safety: pure. */
-Report
-MakeReport(const ReportEvents& aEvents);
+SloReport
+MakeSloReport(const LogEvents& aEvents);
 
 } // namespace toucanshed
--- a/src/cli/StatusView.cpp
+++ b/src/cli/StatusView.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-struct ServiceSums
+struct ServiceTotals
 {
   std::uint64_t engines = 0;
   std::uint64_t running = 0;
@@ -26,11 +26,11 @@
 void
 AddBackends(const json::array& aBackends, std::ostringstream& aText)
 {
-  std::map<std::string, ServiceSums> services;
+  std::map<std::string, ServiceTotals> services;
   for (const json::value& entry : aBackends) {
     const json::object& backend = entry.as_object();
-    ServiceSums& sums = services[StringOf(backend, "service") + "/" +
-                                 StringOf(backend, "version")];
+    ServiceTotals& sums = services[StringOf(backend, "service") + "/" +
+                                   StringOf(backend, "version")];
     ++sums.engines;
     sums.running += NumberOf(backend, "running");
     sums.waiting += NumberOf(backend, "waiting");
@@ -64,7 +64,7 @@
 } // namespace
 
 std::string
-RenderMoves(const json::array& aMoves)
+RenderRollouts(const json::array& aMoves)
 {
   std::ostringstream text;
   text << "move          service        from -> to        step status\n";
@@ -102,7 +102,7 @@
   AddBackends(aStatus.at("backends").as_array(), text);
   const json::array& moves = aStatus.at("moves").as_array();
   if (!moves.empty()) {
-    text << "\n" << RenderMoves(moves);
+    text << "\n" << RenderRollouts(moves);
   }
   return text.str();
 }
--- a/src/cli/StatusView.h
+++ b/src/cli/StatusView.h
@@ -16,6 +16,6 @@
 
 /** The moves alone. */
 std::string
-RenderMoves(const boost::json::array& aMoves);
+RenderRollouts(const boost::json::array& aMoves);
 
 } // namespace toucanshed
--- a/src/cli/Timeline.cpp
+++ b/src/cli/Timeline.cpp
@@ -14,14 +14,14 @@
 constexpr std::size_t kColumns = 80;
 constexpr std::size_t kIndent = 26;
 
-struct Entry
+struct TimelineEntry
 {
-  std::string stamp;
-  EventPairs pairs;
+  std::string timestamp;
+  EventFields fields;
 };
 
 std::string
-ValueOf(const EventPairs& aPairs, std::string_view aKey)
+ValueOf(const EventFields& aPairs, std::string_view aKey)
 {
   for (const auto& [key, value] : aPairs) {
     if (key == aKey) {
@@ -33,7 +33,7 @@
 
 /** "HH:MM:SS.mmm" of the stamp's milliseconds, in UTC. */
 std::string
-ClockText(const std::string& aStamp)
+FormatTimeOfDay(const std::string& aStamp)
 {
   std::uint64_t ms = 0;
   std::from_chars(aStamp.data(), aStamp.data() + aStamp.size(), ms);
@@ -49,7 +49,7 @@
 }
 
 bool
-Follows(const EventPairs& aPairs, std::set<std::string>& aFollow)
+MatchAndFollow(const EventFields& aPairs, std::set<std::string>& aFollow)
 {
   const auto& follow = aFollow;
   const bool named =
@@ -64,14 +64,14 @@
 }
 
 std::string
-Render(const Entry& aEntry)
+RenderEntry(const TimelineEntry& aEntry)
 {
-  std::string process = ValueOf(aEntry.pairs, "process");
+  std::string process = ValueOf(aEntry.fields, "process");
   process.resize(std::max<std::size_t>(process.size(), 11), ' ');
-  std::string line = ClockText(aEntry.stamp) + "  " + process + " " +
-                     ValueOf(aEntry.pairs, "event");
+  std::string line = FormatTimeOfDay(aEntry.timestamp) + "  " + process + " " +
+                     ValueOf(aEntry.fields, "event");
   std::string text;
-  for (const auto& [key, value] : aEntry.pairs) {
+  for (const auto& [key, value] : aEntry.fields) {
     if (key == "at" || key == "process" || key == "event") {
       continue;
     }
@@ -88,10 +88,10 @@
 
 } // namespace
 
-EventPairs
-SplitEvent(std::string_view aLine)
+EventFields
+ParseEventLine(std::string_view aLine)
 {
-  EventPairs pairs;
+  EventFields pairs;
   std::size_t at = 0;
   while (at < aLine.size()) {
     const auto equals = aLine.find('=', at);
@@ -119,24 +119,24 @@
 RenderTimeline(const std::vector<std::string>& aLines,
                const std::vector<std::string>& aFollow)
 {
-  std::vector<Entry> entries;
+  std::vector<TimelineEntry> entries;
   for (const std::string& line : aLines) {
-    EventPairs pairs = SplitEvent(line);
+    EventFields pairs = ParseEventLine(line);
     std::string stamp = ValueOf(pairs, "at");
     if (!stamp.empty()) {
-      entries.push_back(Entry{ std::move(stamp), std::move(pairs) });
+      entries.push_back(TimelineEntry{ std::move(stamp), std::move(pairs) });
     }
   }
   std::stable_sort(entries.begin(),
                    entries.end(),
-                   [](const Entry& aLeft, const Entry& aRight) {
-                     return aLeft.stamp < aRight.stamp;
+                   [](const TimelineEntry& aLeft, const TimelineEntry& aRight) {
+                     return aLeft.timestamp < aRight.timestamp;
                    });
   std::set<std::string> follow(aFollow.begin(), aFollow.end());
   std::string text;
-  for (const Entry& entry : entries) {
-    if (follow.empty() || Follows(entry.pairs, follow)) {
-      text += Render(entry);
+  for (const TimelineEntry& entry : entries) {
+    if (follow.empty() || MatchAndFollow(entry.fields, follow)) {
+      text += RenderEntry(entry);
     }
   }
   return text;
--- a/src/cli/Timeline.h
+++ b/src/cli/Timeline.h
@@ -10,11 +10,11 @@
 namespace toucanshed {
 
 /** One event line, split into its pairs in order. */
-using EventPairs = std::vector<std::pair<std::string, std::string>>;
+using EventFields = std::vector<std::pair<std::string, std::string>>;
 
 /** Splits "key=value key="quoted value"" lines. Thread safety: pure. */
-EventPairs
-SplitEvent(std::string_view aLine);
+EventFields
+ParseEventLine(std::string_view aLine);
 
 /**
  * Merges event lines into the order of their stamps, which follow cause and
--- a/src/cli/main/main.cpp
+++ b/src/cli/main/main.cpp
@@ -29,7 +29,7 @@
 
 constexpr const char* kDefaultDaemon = "127.0.0.1:9100";
 
-using Words = std::vector<std::string>;
+using StringList = std::vector<std::string>;
 
 cxxopts::Options
 OptionsOf(const std::string& aCommand)
@@ -62,7 +62,7 @@
         cxxopts::value<std::string>()->default_value("operator"));
   }
   if (aCommand == "report") {
-    add("files", "log files of the daemons", cxxopts::value<Words>());
+    add("files", "log files of the daemons", cxxopts::value<StringList>());
     add("out", "folder to write to", cxxopts::value<std::string>());
     options.parse_positional({ "files" });
     options.positional_help("FILE...");
@@ -70,35 +70,37 @@
   if (aCommand == "timeline") {
     add("daemons",
         "operator ports, by commas",
-        cxxopts::value<Words>()->default_value(kDefaultDaemon));
-    add("files", "log files, by commas", cxxopts::value<Words>());
+        cxxopts::value<StringList>()->default_value(kDefaultDaemon));
+    add("files", "log files, by commas", cxxopts::value<StringList>());
     add("follow",
         "only events that bear one of these values (a request, version, "
         "instance, move), by commas",
-        cxxopts::value<Words>());
+        cxxopts::value<StringList>());
   }
   return options;
 }
 
-Words
-WordsOf(const cxxopts::ParseResult& aGiven, const std::string& aName)
+StringList
+ListOption(const cxxopts::ParseResult& aGiven, const std::string& aName)
 {
-  return aGiven.count(aName) == 0 ? Words{} : aGiven[aName].as<Words>();
+  return aGiven.count(aName) == 0 ? StringList{}
+                                  : aGiven[aName].as<StringList>();
 }
 
 ExitCode
 RunTimelineCommand(const cxxopts::ParseResult& aGiven)
 {
-  const Words files = WordsOf(aGiven, "files");
+  const StringList files = ListOption(aGiven, "files");
   const bool filesAlone = !files.empty() && aGiven.count("daemons") == 0;
-  const Words daemons = filesAlone ? Words{} : aGiven["daemons"].as<Words>();
-  return RunTimeline(daemons, files, WordsOf(aGiven, "follow"));
+  const StringList daemons =
+    filesAlone ? StringList{} : aGiven["daemons"].as<StringList>();
+  return RunTimeline(daemons, files, ListOption(aGiven, "follow"));
 }
 
 ExitCode
 RunReportCommand(const cxxopts::ParseResult& aGiven)
 {
-  const Words files = WordsOf(aGiven, "files");
+  const StringList files = ListOption(aGiven, "files");
   if (files.empty() || aGiven.count("out") == 0) {
     std::cerr << "toucanshed: FILE... and --out DIR are expected\n";
     return ExitCode::eUsage;
@@ -119,7 +121,7 @@
     return RunStatus(aGiven["daemon"].as<std::string>());
   }
   if (aCommand == "moves") {
-    return RunMoves(aGiven["daemon"].as<std::string>());
+    return RunRollouts(aGiven["daemon"].as<std::string>());
   }
   if (aGiven.count("file") == 0) {
     std::cerr << "toucanshed: a FILE is expected\n";
@@ -134,9 +136,9 @@
   options.daemon = aGiven["daemon"].as<std::string>();
   options.author = aGiven["author"].as<std::string>();
   options.wait = aGiven.count("wait") != 0;
-  options.hasBase = aGiven.count("base") != 0;
-  if (options.hasBase) {
-    options.base = aGiven["base"].as<std::uint64_t>();
+  options.hasBaseRevision = aGiven.count("base") != 0;
+  if (options.hasBaseRevision) {
+    options.baseRevision = aGiven["base"].as<std::uint64_t>();
   }
   return RunApply(options);
 }
--- a/src/coord/AdaptiveLimit.h
+++ b/src/coord/AdaptiveLimit.h
@@ -19,23 +19,27 @@
 public:
   /** \param aMost never more than this many in flight; at least 1. */
   explicit AdaptiveLimit(double aMost)
-    : most(std::max(1.0, aMost))
-    , limit(this->most)
+    : maxInFlight(std::max(1.0, aMost))
+    , limit(this->maxInFlight)
   {
   }
 
-  void SetMost(double aMost)
+  void SetMaxInFlight(double aMost)
   {
-    this->most = std::max(1.0, aMost);
-    this->limit = std::min(this->limit, this->most);
+    this->maxInFlight = std::max(1.0, aMost);
+    this->limit = std::min(this->limit, this->maxInFlight);
   }
   /** A first token came within the target. */
-  void OnTime()
+  void RecordOnTime()
   {
-    this->limit = std::min(this->most, this->limit + kStep / this->limit);
+    this->limit =
+      std::min(this->maxInFlight, this->limit + kIncrease / this->limit);
   }
   /** A first token came late, or the engine refused. */
-  void Late() { this->limit = std::max(1.0, this->limit * kCut); }
+  void RecordLate()
+  {
+    this->limit = std::max(1.0, this->limit * kDecreaseFactor);
+  }
 
   [[nodiscard]] bool Allows(double aInFlight) const
   {
@@ -44,10 +48,10 @@
   [[nodiscard]] double Value() const { return this->limit; }
 
 private:
-  static constexpr double kStep = 1.0;
-  static constexpr double kCut = 0.9;
+  static constexpr double kIncrease = 1.0;
+  static constexpr double kDecreaseFactor = 0.9;
 
-  double most;
+  double maxInFlight;
   double limit;
 };
 
--- a/src/coord/AppendQueue.cpp
+++ b/src/coord/AppendQueue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr unsigned kIndexBits = 12;
-static_assert(AppendQueue::kMostRecords < (1U << kIndexBits));
+static_assert(AppendQueue::kMaxRecords < (1U << kIndexBits));
 }
 
 AppendQueue::AppendQueue(WriterId aWriter)
@@ -34,8 +34,8 @@
     batch.set_writer(this->writer.value);
     batch.set_sequence(++this->lastSequence);
     std::size_t bytes = 0;
-    while (!this->waiting.empty() && bytes < kMostBytes &&
-           static_cast<std::size_t>(batch.records_size()) < kMostRecords) {
+    while (!this->waiting.empty() && bytes < kMaxBytes &&
+           static_cast<std::size_t>(batch.records_size()) < kMaxRecords) {
       bytes += this->waiting.front().ByteSizeLong();
       *batch.add_records() = std::move(this->waiting.front());
       this->waiting.pop_front();
@@ -47,13 +47,13 @@
 }
 
 void
-AppendQueue::Unclear()
+AppendQueue::AllowResend()
 {
   this->sending = false;
 }
 
 void
-AppendQueue::Settled(std::uint64_t aSequence)
+AppendQueue::MarkCommitted(std::uint64_t aSequence)
 {
   if (this->inFlight && aSequence >= this->inFlight->sequence()) {
     this->inFlight.reset();
@@ -62,7 +62,7 @@
 }
 
 std::size_t
-AppendQueue::Unsettled() const
+AppendQueue::UncommittedRecords() const
 {
   const auto flying = this->inFlight ? this->inFlight->records_size() : 0;
   return this->waiting.size() + static_cast<std::size_t>(flying);
--- a/src/coord/AppendQueue.h
+++ b/src/coord/AppendQueue.h
@@ -37,18 +37,18 @@
    * none, or while one is on its way. */
   std::optional<records::Batch> NextToSend();
   /** The send has ended without proof of its fate; it may be sent again. */
-  void Unclear();
+  void AllowResend();
   /** The batch with this number (and so all before it) is in the log. */
-  void Settled(std::uint64_t aSequence);
+  void MarkCommitted(std::uint64_t aSequence);
 
   /** Records not yet known to be in the log. */
-  [[nodiscard]] std::size_t Unsettled() const;
+  [[nodiscard]] std::size_t UncommittedRecords() const;
   [[nodiscard]] const WriterId& Writer() const { return this->writer; }
 
   /** Most records in one batch; also the positions in one offset. */
-  static constexpr std::size_t kMostRecords = 1024;
+  static constexpr std::size_t kMaxRecords = 1024;
   /** Most bytes of records in one batch. */
-  static constexpr std::size_t kMostBytes = 512 * 1024;
+  static constexpr std::size_t kMaxBytes = 512 * 1024;
 
 private:
   WriterId writer;
--- a/src/coord/BackendTable.cpp
+++ b/src/coord/BackendTable.cpp
@@ -10,17 +10,17 @@
 BackendTable::Put(const BackendEntry& aEntry)
 {
   Backend& backend = this->backends[aEntry.id];
-  const bool otherLife =
-    !backend.entry.id.Empty() && (backend.entry.born != aEntry.born ||
-                                  backend.entry.address != aEntry.address);
+  const bool otherLife = !backend.entry.id.Empty() &&
+                         (backend.entry.incarnation != aEntry.incarnation ||
+                          backend.entry.address != aEntry.address);
   if (otherLife) {
-    const BackendLoad own = backend.own; // those requests still end here
+    const BackendLoad own = backend.localLoad; // those requests still end here
     backend = Backend{};
-    backend.own = own;
+    backend.localLoad = own;
   }
   backend.entry = aEntry;
   backend.leaving = backend.leaving || aEntry.leaving;
-  backend.usedUntil.reset();
+  backend.graceUntil.reset();
 }
 
 void
@@ -35,8 +35,8 @@
     this->backends.erase(found);
     return;
   }
-  if (!backend.usedUntil) {
-    backend.usedUntil = aUsedUntil;
+  if (!backend.graceUntil) {
+    backend.graceUntil = aUsedUntil;
   }
 }
 
@@ -45,7 +45,7 @@
 {
   std::vector<InstanceId> dropped;
   for (const auto& [id, backend] : this->backends) {
-    if (backend.Lapsed(aNow)) {
+    if (backend.GraceExpired(aNow)) {
       dropped.push_back(id);
     }
   }
@@ -64,7 +64,7 @@
 }
 
 void
-BackendTable::MarkUnlisted(const InstanceId& aId)
+BackendTable::MarkEntryUnusable(const InstanceId& aId)
 {
   if (Backend* backend = this->Find(aId)) {
     backend->entry.leaving = true;
@@ -78,39 +78,42 @@
   std::uint64_t digest = 0;
   for (const auto& [id, backend] : this->backends) {
     const BackendEntry& entry = backend.entry;
-    if (entry.leaving || backend.usedUntil) {
+    if (entry.leaving || backend.graceUntil) {
       continue;
     }
     std::uint64_t hash =
-      Hash64(id.value, static_cast<std::uint64_t>(entry.born));
-    hash = MixHash(hash, Hash64(entry.service.value, entry.slots));
-    hash = MixHash(hash, Hash64(entry.address));
-    hash = MixHash(hash, Hash64(entry.zone.value, entry.reclaimable ? 1 : 0));
-    digest ^= MixHash(hash, Hash64(entry.version.value));
+      Hash64(id.value, static_cast<std::uint64_t>(entry.incarnation));
+    hash = CombineHashes(hash, Hash64(entry.service.value, entry.slots));
+    hash = CombineHashes(hash, Hash64(entry.address));
+    hash =
+      CombineHashes(hash, Hash64(entry.zone.value, entry.reclaimable ? 1 : 0));
+    digest ^= CombineHashes(hash, Hash64(entry.version.value));
   }
   return digest;
 }
 
 void
-BackendTable::Succeeded(const InstanceId& aId)
+BackendTable::RecordSuccess(const InstanceId& aId)
 {
   if (Backend* backend = this->Find(aId)) {
-    backend->failuresInRow = 0;
+    backend->consecutiveFailures = 0;
     backend->pausedUntil = TimePoint{};
-    backend->failureShare *= 1 - kNewestWeight;
+    backend->failureRate *= 1 - kFailureRateWeight;
   }
 }
 
 void
-BackendTable::Progressed(const InstanceId& aId, TimePoint aNow)
+BackendTable::RecordProgress(const InstanceId& aId, TimePoint aNow)
 {
   if (Backend* backend = this->Find(aId)) {
-    backend->progressAt = aNow;
+    backend->lastProgressAt = aNow;
   }
 }
 
 void
-BackendTable::Began(const InstanceId& aId, double aSeenMs, double aExpectedMs)
+BackendTable::RecordResponseStart(const InstanceId& aId,
+                                  double aSeenMs,
+                                  double aExpectedMs)
 {
   constexpr double kNewest = 0.15; // about the last six answers count
   constexpr double kFastest = 0.5;
@@ -128,21 +131,21 @@
 }
 
 void
-BackendTable::Failed(const InstanceId& aId, TimePoint aNow)
+BackendTable::RecordFailure(const InstanceId& aId, TimePoint aNow)
 {
   Backend* backend = this->Find(aId);
   if (backend == nullptr) {
     return;
   }
-  ++backend->failuresInRow;
-  backend->failureShare += kNewestWeight * (1 - backend->failureShare);
-  if (backend->failuresInRow < kPauseAfter) {
+  ++backend->consecutiveFailures;
+  backend->failureRate += kFailureRateWeight * (1 - backend->failureRate);
+  if (backend->consecutiveFailures < kFailuresBeforePause) {
     return;
   }
   constexpr unsigned kMostDoublings = 3; // 400 ms to 3.2 s
-  const unsigned doublings =
-    std::min(backend->failuresInRow - kPauseAfter, kMostDoublings);
-  const Millis pause = std::min(kFirstPause * (1U << doublings), kLongestPause);
+  const unsigned doublings = std::min(
+    backend->consecutiveFailures - kFailuresBeforePause, kMostDoublings);
+  const Millis pause = std::min(kInitialPause * (1U << doublings), kMaxPause);
   backend->pausedUntil = aNow + pause;
 }
 
@@ -154,7 +157,7 @@
 }
 
 std::vector<Backend*>
-BackendTable::Of(const ServiceId& aService)
+BackendTable::ForService(const ServiceId& aService)
 {
   std::vector<Backend*> result;
   for (auto& [id, backend] : this->backends) {
@@ -166,11 +169,11 @@
 }
 
 void
-BackendTable::SetOthers(const std::map<InstanceId, BackendLoad>& aLoads)
+BackendTable::SetRemoteLoads(const std::map<InstanceId, BackendLoad>& aLoads)
 {
   for (auto& [id, backend] : this->backends) {
     const auto found = aLoads.find(id);
-    backend.others = found == aLoads.end() ? BackendLoad{} : found->second;
+    backend.remoteLoad = found == aLoads.end() ? BackendLoad{} : found->second;
   }
 }
 
--- a/src/coord/BackendTable.h
+++ b/src/coord/BackendTable.h
@@ -26,7 +26,7 @@
   unsigned slots = 1;
   bool leaving = false;
   bool reclaimable = false;
-  std::int64_t born = 0; // start of this life; a restart may keep the id
+  std::int64_t incarnation = 0; // start of this life; a restart may keep the id
 
   bool operator==(const BackendEntry&) const = default;
 };
@@ -44,41 +44,42 @@
 struct Backend
 {
   BackendEntry entry;
-  BackendLoad own;      // sent by this daemon
-  BackendLoad others;   // sent by the other daemons, by their last word
-  bool leaving = false; // by the list, its own answer or another daemon
+  BackendLoad localLoad;  // sent by this daemon
+  BackendLoad remoteLoad; // sent by the other daemons, by their last word
+  bool leaving = false;   // by the list, its own answer or another daemon
   /** Its entry may have lapsed with the store; it is used until then. */
-  std::optional<TimePoint> usedUntil;
-  TimePoint sentAt;        // the last send to it; 0: none
-  double failureShare = 0; // of the newest answers, newer ones count more
-  TimePoint pausedUntil;   // not chosen before, after failures in a row
-  unsigned failuresInRow = 0;
+  std::optional<TimePoint> graceUntil;
+  TimePoint lastSentAt;   // the last send to it; 0: none
+  double failureRate = 0; // of the newest answers, newer ones count more
+  TimePoint pausedUntil;  // not chosen before, after failures in a row
+  unsigned consecutiveFailures = 0;
   double slowness = 1; // time to begin, seen against expected
   /** When something last came from it, or, if later, when it was sent something
    * while it had nothing else to do. */
-  TimePoint progressAt;
+  TimePoint lastProgressAt;
 
   /** Its entry is missing, and the time in which it may be listed again is
    * over. */
-  [[nodiscard]] bool Lapsed(TimePoint aNow) const
+  [[nodiscard]] bool GraceExpired(TimePoint aNow) const
   {
-    return this->usedUntil && *this->usedUntil <= aNow;
+    return this->graceUntil && *this->graceUntil <= aNow;
   }
 
   /** It has work of this daemon and nothing has come from it for too long: it
    * hangs, or the path to it is dead, and more requests would hang with it. */
-  [[nodiscard]] bool Stalled(TimePoint aNow) const
+  [[nodiscard]] bool IsStalled(TimePoint aNow) const
   {
-    return this->own.running > 0 && aNow - this->progressAt > kStalled;
+    return this->localLoad.running > 0 &&
+           aNow - this->lastProgressAt > kStallTimeout;
   }
 
   /** Engines begin within some hundred ms, also behind long prompts, and give a
    * token every few ms after that. */
-  static constexpr Millis kStalled{ 900 };
+  static constexpr Millis kStallTimeout{ 900 };
 
-  [[nodiscard]] std::int64_t Running() const
+  [[nodiscard]] std::int64_t TotalRunning() const
   {
-    return this->own.running + this->others.running;
+    return this->localLoad.running + this->remoteLoad.running;
   }
 };
 
@@ -92,11 +93,11 @@
 {
 public:
   /** Failures in a row after which a back end is passed over for a while. */
-  static constexpr unsigned kPauseAfter = 2;
+  static constexpr unsigned kFailuresBeforePause = 2;
   /** First pause; doubles up to the longest. An engine that has crashed is back
    * after some seconds, so longer pauses would leave it idle. */
-  static constexpr Millis kFirstPause{ 400 };
-  static constexpr Millis kLongestPause{ 3200 };
+  static constexpr Millis kInitialPause{ 400 };
+  static constexpr Millis kMaxPause{ 3200 };
 
   /** Takes in an entry. A new life under a known id starts anew. */
   void Put(const BackendEntry& aEntry);
@@ -109,21 +110,23 @@
   std::vector<InstanceId> Expire(TimePoint aNow);
 
   /** Its entry names no back end that may be used any more. */
-  void MarkUnlisted(const InstanceId& aId);
+  void MarkEntryUnusable(const InstanceId& aId);
   /** It said itself, or another daemon did, that it takes nothing more. */
   void MarkLeaving(const InstanceId& aId);
   /** An answer of use came from it. */
-  void Succeeded(const InstanceId& aId);
+  void RecordSuccess(const InstanceId& aId);
   /** Something came from it. */
-  void Progressed(const InstanceId& aId, TimePoint aNow);
+  void RecordProgress(const InstanceId& aId, TimePoint aNow);
   /** It began an answer after aSeenMs, where aExpectedMs were expected. */
-  void Began(const InstanceId& aId, double aSeenMs, double aExpectedMs);
+  void RecordResponseStart(const InstanceId& aId,
+                           double aSeenMs,
+                           double aExpectedMs);
   /** It failed, or could not be reached. */
-  void Failed(const InstanceId& aId, TimePoint aNow);
+  void RecordFailure(const InstanceId& aId, TimePoint aNow);
 
   [[nodiscard]] Backend* Find(const InstanceId& aId);
   /** Back ends of a service, leaving ones too. */
-  [[nodiscard]] std::vector<Backend*> Of(const ServiceId& aService);
+  [[nodiscard]] std::vector<Backend*> ForService(const ServiceId& aService);
   [[nodiscard]] const std::map<InstanceId, Backend>& All() const
   {
     return this->backends;
@@ -131,11 +134,11 @@
   /** The same for two tables that list the same back ends for use. */
   [[nodiscard]] std::uint64_t Digest() const;
   /** Sets what the other daemons have sent, as the sum of their words. */
-  void SetOthers(const std::map<InstanceId, BackendLoad>& aLoads);
+  void SetRemoteLoads(const std::map<InstanceId, BackendLoad>& aLoads);
 
 private:
   /** Weight of the newest answer in failureShare: about the last ten count. */
-  static constexpr double kNewestWeight = 0.1;
+  static constexpr double kFailureRateWeight = 0.1;
 
   std::map<InstanceId, Backend> backends;
 };
--- a/src/coord/WriterFilter.h
+++ b/src/coord/BatchDeduplicator.h
@@ -21,25 +21,26 @@
  *
  * Thread safety: none; the owner of the stream's table serialises.
  */
-class WriterFilter
+class BatchDeduplicator
 {
 public:
   /** Whether the batch is new; remembers it if so. */
   bool Accept(const WriterId& aWriter, std::uint64_t aSequence);
   /** Highest sequence seen from the writer, 0 for none. */
-  [[nodiscard]] std::uint64_t Highest(const WriterId& aWriter) const;
+  [[nodiscard]] std::uint64_t HighestSequence(const WriterId& aWriter) const;
 
-  [[nodiscard]] const std::map<WriterId, std::uint64_t>& All() const
+  [[nodiscard]] const std::map<WriterId, std::uint64_t>& HighestSequences()
+    const
   {
-    return this->highest;
+    return this->highestSequences;
   }
   void Restore(std::map<WriterId, std::uint64_t> aHighest)
   {
-    this->highest = std::move(aHighest);
+    this->highestSequences = std::move(aHighest);
   }
 
 private:
-  std::map<WriterId, std::uint64_t> highest;
+  std::map<WriterId, std::uint64_t> highestSequences;
 };
 
 } // namespace toucanshed
--- a/src/coord/Catalog.h
+++ b/src/coord/Catalog.h
@@ -19,15 +19,15 @@
 /** What may be repeated. */
 enum class RequestKind
 {
-  eIdempotent,      // may run more than once
-  eOnce,            // may run at most once
-  eStream,          // a stream that may run at most once
-  eResumableStream, // a stream that may go on elsewhere after its last event
+  eIdempotent,       // may run more than once
+  eAtMostOnce,       // may run at most once
+  eAtMostOnceStream, // a stream that may run at most once
+  eResumableStream,  // a stream that may go on elsewhere after its last event
 };
 
 /** Whether a request of this kind may be sent again after it may have run. */
 constexpr bool
-MayRepeat(RequestKind aKind)
+IsRetrySafe(RequestKind aKind)
 {
   return aKind == RequestKind::eIdempotent ||
          aKind == RequestKind::eResumableStream;
@@ -36,7 +36,7 @@
 constexpr bool
 IsStream(RequestKind aKind)
 {
-  return aKind == RequestKind::eStream ||
+  return aKind == RequestKind::eAtMostOnceStream ||
          aKind == RequestKind::eResumableStream;
 }
 
@@ -53,14 +53,14 @@
   std::string name;
   std::string host;
   std::string pathPrefix;
-  RequestKind kind = RequestKind::eOnce;
-  Millis timeout{ 0 };   // longest time a caller is kept waiting
-  Millis target{ 0 };    // answered (streams: begun) later is late
-  Millis gapTarget{ 0 }; // a longer pause between events is late
-  int urgency = 0;       // 0 goes first
+  RequestKind kind = RequestKind::eAtMostOnce;
+  Millis timeout{ 0 };        // longest time a caller is kept waiting
+  Millis latencyTarget{ 0 };  // answered (streams: begun) later is late
+  Millis eventGapTarget{ 0 }; // a longer pause between events is late
+  int priority = 0;           // 0 goes first
   std::vector<RouteTarget> targets;
-  unsigned mostBackends = 1; // back ends that may run one request
-  bool open = false;         // needs no key
+  unsigned maxBackends = 1; // back ends that may run one request
+  bool isPublic = false;    // needs no key
 };
 
 /** A model engine, alike for all engines of a service. */
@@ -72,10 +72,10 @@
 /** How many engines may be ordered, for each failure domain. */
 struct ScaleBounds
 {
-  unsigned least = 0;
-  unsigned most = 0;
+  unsigned minEngines = 0;
+  unsigned maxEngines = 0;
   Millis bootTime{ 0 };
-  double reclaimablePrice = 1; // against an on-demand engine beside it
+  double reclaimablePriceRatio = 1; // against an on-demand engine beside it
   std::map<ZoneId, double> zonePrices;
 };
 
@@ -89,20 +89,21 @@
 struct Team
 {
   TeamId id;
-  std::optional<int> urgency;    // goes before the route's
-  bool countsTokens = false;     // else its limit counts requests
-  std::uint64_t plainTokens = 1; // charged for a request that states no tokens
-  double ratePerSecond = 0;      // 0: no limit
+  std::optional<int> priority; // goes before the route's
+  bool countsTokens = false;   // else its limit counts requests
+  std::uint64_t defaultTokens =
+    1;                      // charged for a request that states no tokens
+  double ratePerSecond = 0; // 0: no limit
   double burst = 0;
 };
 
 /** What a caller may send, and how long it may take. */
-struct CallerBounds
+struct RequestLimits
 {
-  std::uint32_t headBytes = 16384;
-  std::uint64_t bodyBytes = 1U << 20U;
-  Millis headTime{ 10000 };
-  Millis idleTime{ 60000 };
+  std::uint32_t maxHeaderBytes = 16384;
+  std::uint64_t maxBodyBytes = 1U << 20U;
+  Millis headerTimeout{ 10000 };
+  Millis idleTimeout{ 60000 };
 };
 
 /** Thread safety: immutable after it is filled. */
@@ -113,7 +114,7 @@
   std::map<ServiceId, ServiceSpec> services;
   std::vector<Team> teams;
   std::map<std::string, std::size_t, std::less<>> teamByKey;
-  CallerBounds callers;
+  RequestLimits requestLimits;
 
   /** The route of this host with the longest prefix of aPath, or null. */
   [[nodiscard]] const Route* FindRoute(std::string_view aHost,
--- a/src/coord/ClaimCoordinator.cpp
+++ b/src/coord/ClaimCoordinator.cpp
@@ -11,22 +11,23 @@
 {
 }
 
-ClaimAsk
-ClaimCoordinator::Ask(const CallKey& aKey,
-                      Fingerprint aFingerprint,
-                      const AttemptId& aAttempt,
-                      TimePoint aNow)
+KeyStatus
+ClaimCoordinator::TryClaim(const IdempotencyKey& aKey,
+                           Fingerprint aFingerprint,
+                           const AttemptId& aAttempt,
+                           TimePoint aNow)
 {
   Invariant(this->attempts.count(aAttempt) == 0, "attempt ids are new");
-  const auto keyTime = ParseKeyTime(CallerPartOf(aKey));
+  const auto keyTime = ParseKeyTime(CallerKeyOf(aKey));
   if (!keyTime || this->table.OutsideWindow(*keyTime, aNow)) {
-    return ClaimAsk::eOutsideWindow;
+    return KeyStatus::eOutsideWindow;
   }
   if (const ClaimEntry* entry = this->table.Find(aKey)) {
     if (entry->fingerprint != aFingerprint) {
-      return ClaimAsk::eOtherBody;
+      return KeyStatus::eRequestMismatch;
     }
-    return entry->answer ? ClaimAsk::eEnded : ClaimAsk::eHeldElsewhere;
+    return entry->outcome ? KeyStatus::eOutcomeRecorded
+                          : KeyStatus::eInProgress;
   }
   Attempt attempt;
   attempt.key = aKey;
@@ -39,7 +40,7 @@
   claim->set_attempt(aAttempt.value);
   claim->set_written_ms(static_cast<std::uint64_t>(aNow.ms));
   this->queue.Add(std::move(record));
-  return ClaimAsk::eClaiming;
+  return KeyStatus::eClaiming;
 }
 
 void
@@ -47,9 +48,9 @@
 {
   const WriterId writer{ aBatch.writer() };
   if (writer == this->queue.Writer()) {
-    this->queue.Settled(aBatch.sequence());
+    this->queue.MarkCommitted(aBatch.sequence());
   }
-  if (!this->filter.Accept(writer, aBatch.sequence())) {
+  if (!this->deduplicator.Accept(writer, aBatch.sequence())) {
     return;
   }
   for (int i = 0; i < aBatch.records_size(); ++i) {
@@ -66,7 +67,7 @@
   if (aRecord.has_claim()) {
     this->table.ApplyClaim(aPosition, aWriter, aRecord.claim());
     if (aWriter == this->queue.Writer()) {
-      this->NoteReadBack(aRecord.claim());
+      this->HandleReadBack(aRecord.claim());
     }
   } else if (aRecord.has_abandon()) {
     this->table.ApplyAbandon(aRecord.abandon());
@@ -76,7 +77,7 @@
 }
 
 void
-ClaimCoordinator::NoteReadBack(const records::Claim& aClaim)
+ClaimCoordinator::HandleReadBack(const records::Claim& aClaim)
 {
   Attempt* attempt = this->FindAttempt(AttemptId{ aClaim.attempt() });
   if (attempt == nullptr) {
@@ -85,7 +86,7 @@
   const ClaimEntry* entry = this->table.Find(attempt->key);
   const bool first =
     entry != nullptr && entry->attempt.value == aClaim.attempt();
-  attempt->machine.ReadBack(first);
+  attempt->stateMachine.ReadBack(first);
 }
 
 bool
@@ -95,31 +96,31 @@
   if (attempt == nullptr || this->table.OutsideWindow(attempt->keyTime, aNow)) {
     return false;
   }
-  return attempt->machine.Dispatch();
+  return attempt->stateMachine.Dispatch();
 }
 
 bool
 ClaimCoordinator::Abandon(const AttemptId& aAttempt)
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
-  if (attempt == nullptr || !attempt->machine.Abandon()) {
+  if (attempt == nullptr || !attempt->stateMachine.Abandon()) {
     return false;
   }
-  this->AddAbandon(*attempt, aAttempt);
+  this->QueueAbandon(*attempt, aAttempt);
   return true;
 }
 
 void
-ClaimCoordinator::Withdraw(const AttemptId& aAttempt)
+ClaimCoordinator::AbandonUnsent(const AttemptId& aAttempt)
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
-  Invariant(attempt != nullptr && attempt->machine.Withdraw(),
+  Invariant(attempt != nullptr && attempt->stateMachine.AbandonUnsent(),
             "a withdrawal follows a dispatch");
-  this->AddAbandon(*attempt, aAttempt);
+  this->QueueAbandon(*attempt, aAttempt);
 }
 
 void
-ClaimCoordinator::AddAbandon(const Attempt& aAttempt, const AttemptId& aId)
+ClaimCoordinator::QueueAbandon(const Attempt& aAttempt, const AttemptId& aId)
 {
   records::Record record;
   record.mutable_abandon()->set_key(aAttempt.key.value);
@@ -128,9 +129,9 @@
 }
 
 void
-ClaimCoordinator::AddOutcome(const Attempt& aAttempt,
-                             const AttemptId& aId,
-                             const ClaimAnswer& aAnswer)
+ClaimCoordinator::QueueOutcome(const Attempt& aAttempt,
+                               const AttemptId& aId,
+                               const ClaimOutcome& aAnswer)
 {
   records::Record record;
   records::ClaimOutcome* outcome = record.mutable_outcome();
@@ -144,24 +145,24 @@
 }
 
 void
-ClaimCoordinator::Answered(const AttemptId& aAttempt,
-                           const ClaimAnswer& aAnswer)
+ClaimCoordinator::Complete(const AttemptId& aAttempt,
+                           const ClaimOutcome& aAnswer)
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
-  Invariant(attempt != nullptr && attempt->machine.Answered(),
+  Invariant(attempt != nullptr && attempt->stateMachine.Complete(),
             "an answer follows a dispatch");
-  this->AddOutcome(*attempt, aAttempt, aAnswer);
+  this->QueueOutcome(*attempt, aAttempt, aAnswer);
 }
 
 void
-ClaimCoordinator::Lost(const AttemptId& aAttempt)
+ClaimCoordinator::MarkUnclear(const AttemptId& aAttempt)
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
-  Invariant(attempt != nullptr && attempt->machine.Lost(),
+  Invariant(attempt != nullptr && attempt->stateMachine.MarkUnclear(),
             "a loss follows a dispatch");
-  ClaimAnswer answer;
+  ClaimOutcome answer;
   answer.unclear = true;
-  this->AddOutcome(*attempt, aAttempt, answer);
+  this->QueueOutcome(*attempt, aAttempt, answer);
 }
 
 void
@@ -184,7 +185,7 @@
   if (found == this->attempts.end()) {
     return std::nullopt;
   }
-  return found->second.machine.Phase();
+  return found->second.stateMachine.Phase();
 }
 
 } // namespace toucanshed
--- a/src/coord/ClaimCoordinator.h
+++ b/src/coord/ClaimCoordinator.h
@@ -5,9 +5,9 @@
 #pragma once
 
 #include "AppendQueue.h"
-#include "ClaimMachine.h"
+#include "BatchDeduplicator.h"
+#include "ClaimStateMachine.h"
 #include "ClaimTable.h"
-#include "WriterFilter.h"
 
 #include <functional>
 #include <map>
@@ -16,13 +16,13 @@
 namespace toucanshed {
 
 /** What is known of a key when a request comes in. */
-enum class ClaimAsk
+enum class KeyStatus
 {
-  eClaiming,      // nobody holds it; our claim is on its way
-  eHeldElsewhere, // another attempt holds it and has not ended
-  eEnded,         // it has ended; the recorded answer is the answer
-  eOtherBody,     // the key was used for a different request
-  eOutsideWindow, // the key is too old or too far ahead to be run
+  eClaiming,        // nobody holds it; our claim is on its way
+  eInProgress,      // another attempt holds it and has not ended
+  eOutcomeRecorded, // it has ended; the recorded answer is the answer
+  eRequestMismatch, // the key was used for a different request
+  eOutsideWindow,   // the key is too old or too far ahead to be run
 };
 
 /**
@@ -50,10 +50,10 @@
   ClaimCoordinator(WriterId aWriter, Millis aWindow);
 
   /** Takes a request in. Precondition: aAttempt is new. */
-  ClaimAsk Ask(const CallKey& aKey,
-               Fingerprint aFingerprint,
-               const AttemptId& aAttempt,
-               TimePoint aNow);
+  KeyStatus TryClaim(const IdempotencyKey& aKey,
+                     Fingerprint aFingerprint,
+                     const AttemptId& aAttempt,
+                     TimePoint aNow);
 
   /** Folds a batch read from the log. */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
@@ -69,11 +69,11 @@
   bool Abandon(const AttemptId& aAttempt);
   /** A dispatched attempt could not be sent: no byte has left this daemon.
    * The key is free again. */
-  void Withdraw(const AttemptId& aAttempt);
+  void AbandonUnsent(const AttemptId& aAttempt);
   /** The back end's answer to a sent attempt. */
-  void Answered(const AttemptId& aAttempt, const ClaimAnswer& aAnswer);
+  void Complete(const AttemptId& aAttempt, const ClaimOutcome& aAnswer);
   /** A sent attempt ended in a way that leaves open whether it ran. */
-  void Lost(const AttemptId& aAttempt);
+  void MarkUnclear(const AttemptId& aAttempt);
 
   /** Forgets an attempt that has ended. */
   void Release(const AttemptId& aAttempt);
@@ -86,23 +86,23 @@
 private:
   struct Attempt
   {
-    CallKey key;
+    IdempotencyKey key;
     TimePoint keyTime;
-    ClaimMachine machine;
+    ClaimStateMachine stateMachine;
   };
 
   Attempt* FindAttempt(const AttemptId& aAttempt);
   void ApplyRecord(Position aPosition,
                    const WriterId& aWriter,
                    const records::Record& aRecord);
-  void NoteReadBack(const records::Claim& aClaim);
-  void AddAbandon(const Attempt& aAttempt, const AttemptId& aId);
-  void AddOutcome(const Attempt& aAttempt,
-                  const AttemptId& aId,
-                  const ClaimAnswer& aAnswer);
+  void HandleReadBack(const records::Claim& aClaim);
+  void QueueAbandon(const Attempt& aAttempt, const AttemptId& aId);
+  void QueueOutcome(const Attempt& aAttempt,
+                    const AttemptId& aId,
+                    const ClaimOutcome& aAnswer);
 
   ClaimTable table;
-  WriterFilter filter;
+  BatchDeduplicator deduplicator;
   AppendQueue queue;
   std::map<AttemptId, Attempt> attempts;
 };
--- a/src/coord/ClaimMachine.h
+++ b/src/coord/ClaimStateMachine.h
@@ -11,13 +11,13 @@
 /** Where the request stands. */
 enum class ClaimPhase
 {
-  eClaiming,  // the claim is on its way to the log
-  eOwned,     // read back as first; nothing sent yet
-  eForeign,   // another claim was first
-  eRunning,   // handed to a back end, once
-  eAbandoned, // given up before anything was sent; will never be sent
-  eCompleted, // the back end's answer is known
-  eUnclear,   // sent, and its end is not known
+  eClaiming,    // the claim is on its way to the log
+  eOwned,       // read back as first; nothing sent yet
+  eHeldByOther, // another claim was first
+  eRunning,     // handed to a back end, once
+  eAbandoned,   // given up before anything was sent; will never be sent
+  eCompleted,   // the back end's answer is known
+  eUnclear,     // sent, and its end is not known
 };
 
 /**
@@ -35,27 +35,27 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class ClaimMachine
+class ClaimStateMachine
 {
 public:
-  ClaimMachine();
-  ~ClaimMachine();
-  ClaimMachine(ClaimMachine&&) noexcept;
-  ClaimMachine& operator=(ClaimMachine&&) noexcept;
+  ClaimStateMachine();
+  ~ClaimStateMachine();
+  ClaimStateMachine(ClaimStateMachine&&) noexcept;
+  ClaimStateMachine& operator=(ClaimStateMachine&&) noexcept;
 
   bool ReadBack(bool aFirst);
   bool Dispatch();
   bool Abandon();
-  bool Answered();
-  bool Lost();
+  bool Complete();
+  bool MarkUnclear();
   /** Back to abandoned: dispatched, but no byte could be sent. */
-  bool Withdraw();
+  bool AbandonUnsent();
 
   [[nodiscard]] ClaimPhase Phase() const;
 
 private:
-  struct Body;
-  std::unique_ptr<Body> body;
+  struct Impl;
+  std::unique_ptr<Impl> impl;
 };
 
 } // namespace toucanshed
--- a/src/coord/ClaimTable.cpp
+++ b/src/coord/ClaimTable.cpp
@@ -5,7 +5,7 @@
 namespace toucanshed {
 
 std::string_view
-CallerPartOf(const CallKey& aKey)
+CallerKeyOf(const IdempotencyKey& aKey)
 {
   const std::string_view text = aKey.value;
   const auto first = text.find('/');
@@ -21,7 +21,7 @@
 bool
 ClaimTable::OutsideWindow(TimePoint aKeyTime, TimePoint aNow) const
 {
-  return aKeyTime + this->window <= aNow || aKeyTime > aNow + kMostAhead;
+  return aKeyTime + this->window <= aNow || aKeyTime > aNow + kMaxClockSkew;
 }
 
 void
@@ -30,11 +30,12 @@
                        const records::Claim& aClaim)
 {
   const TimePoint written{ static_cast<std::int64_t>(aClaim.written_ms()) };
-  this->foldTime = std::max(this->foldTime, written);
-  this->Forget();
-  const CallKey key{ aClaim.key() };
-  const auto keyTime = ParseKeyTime(CallerPartOf(key));
-  const bool legal = keyTime && !this->OutsideWindow(*keyTime, this->foldTime);
+  this->latestRecordTime = std::max(this->latestRecordTime, written);
+  this->ExpireKeys();
+  const IdempotencyKey key{ aClaim.key() };
+  const auto keyTime = ParseKeyTime(CallerKeyOf(key));
+  const bool legal =
+    keyTime && !this->OutsideWindow(*keyTime, this->latestRecordTime);
   if (!legal || this->entries.count(key) != 0) {
     return;
   }
@@ -44,18 +45,18 @@
                                    aPosition,
                                    *keyTime,
                                    std::nullopt };
-  this->byAge.emplace(*keyTime, key);
+  this->byKeyTime.emplace(*keyTime, key);
 }
 
 void
 ClaimTable::ApplyAbandon(const records::Abandon& aAbandon)
 {
-  const auto found = this->entries.find(CallKey{ aAbandon.key() });
+  const auto found = this->entries.find(IdempotencyKey{ aAbandon.key() });
   const bool holds = found != this->entries.end() &&
                      found->second.attempt.value == aAbandon.attempt() &&
-                     !found->second.answer;
+                     !found->second.outcome;
   if (holds) {
-    this->byAge.erase({ found->second.keyTime, found->first });
+    this->byKeyTime.erase({ found->second.keyTime, found->first });
     this->entries.erase(found);
   }
 }
@@ -63,35 +64,35 @@
 void
 ClaimTable::ApplyOutcome(const records::ClaimOutcome& aOutcome)
 {
-  const auto found = this->entries.find(CallKey{ aOutcome.key() });
+  const auto found = this->entries.find(IdempotencyKey{ aOutcome.key() });
   const bool holds = found != this->entries.end() &&
                      found->second.attempt.value == aOutcome.attempt() &&
-                     !found->second.answer;
+                     !found->second.outcome;
   if (holds) {
-    found->second.answer = ClaimAnswer{ aOutcome.unclear(),
-                                        aOutcome.status(),
-                                        aOutcome.content_type(),
-                                        aOutcome.body() };
+    found->second.outcome = ClaimOutcome{ aOutcome.unclear(),
+                                          aOutcome.status(),
+                                          aOutcome.content_type(),
+                                          aOutcome.body() };
   }
 }
 
 const ClaimEntry*
-ClaimTable::Find(const CallKey& aKey) const
+ClaimTable::Find(const IdempotencyKey& aKey) const
 {
   const auto found = this->entries.find(aKey);
   return found == this->entries.end() ? nullptr : &found->second;
 }
 
 void
-ClaimTable::Forget()
+ClaimTable::ExpireKeys()
 {
-  while (!this->byAge.empty()) {
-    const auto oldest = this->byAge.begin();
-    if (oldest->first + this->window > this->foldTime) {
+  while (!this->byKeyTime.empty()) {
+    const auto oldest = this->byKeyTime.begin();
+    if (oldest->first + this->window > this->latestRecordTime) {
       return;
     }
     this->entries.erase(oldest->second);
-    this->byAge.erase(oldest);
+    this->byKeyTime.erase(oldest);
   }
 }
 
--- a/src/coord/ClaimTable.h
+++ b/src/coord/ClaimTable.h
@@ -15,7 +15,7 @@
 namespace toucanshed {
 
 /** The recorded end of a claimed request. */
-struct ClaimAnswer
+struct ClaimOutcome
 {
   bool unclear = false; // it may have run; nobody knows
   unsigned status = 0;
@@ -31,7 +31,7 @@
   WriterId claimant;
   Position position;
   TimePoint keyTime;
-  std::optional<ClaimAnswer> answer;
+  std::optional<ClaimOutcome> outcome;
 };
 
 /**
@@ -58,26 +58,26 @@
   void ApplyOutcome(const records::ClaimOutcome& aOutcome);
 
   /** Null when nobody holds the key. */
-  [[nodiscard]] const ClaimEntry* Find(const CallKey& aKey) const;
+  [[nodiscard]] const ClaimEntry* Find(const IdempotencyKey& aKey) const;
   /** Whether a key of this time is too old, or too far ahead, to be run. */
   [[nodiscard]] bool OutsideWindow(TimePoint aKeyTime, TimePoint aNow) const;
 
   [[nodiscard]] std::size_t Size() const { return this->entries.size(); }
 
   /** A key may run ahead of a daemon's clock by this much. */
-  static constexpr Millis kMostAhead{ 300000 };
+  static constexpr Millis kMaxClockSkew{ 300000 };
 
 private:
-  void Forget();
+  void ExpireKeys();
 
   Millis window;
-  TimePoint foldTime;
-  std::unordered_map<CallKey, ClaimEntry> entries;
-  std::set<std::pair<TimePoint, CallKey>> byAge;
+  TimePoint latestRecordTime;
+  std::unordered_map<IdempotencyKey, ClaimEntry> entries;
+  std::set<std::pair<TimePoint, IdempotencyKey>> byKeyTime;
 };
 
 /** The caller's own key within a claim's key "TEAM/SERVICE/KEY". */
 std::string_view
-CallerPartOf(const CallKey& aKey);
+CallerKeyOf(const IdempotencyKey& aKey);
 
 } // namespace toucanshed
--- a/src/coord/ControlReader.cpp
+++ b/src/coord/ControlReader.cpp
@@ -6,7 +6,7 @@
 
 /** The last position that an offset can have. */
 Position
-EndOf(std::uint64_t aOffset)
+LastPositionAt(std::uint64_t aOffset)
 {
   return Position{ PositionOf(aOffset + 1, 0).value - 1 };
 }
@@ -19,37 +19,38 @@
 }
 
 void
-ControlReader::BeginAt(std::uint64_t aEarliest)
+ControlReader::SetEarliestOffset(std::uint64_t aEarliest)
 {
-  this->missing = aEarliest - 1;
-  this->waiting = this->missing > this->folded;
+  this->requiredOffset = aEarliest - 1;
+  this->awaitingSnapshot = this->requiredOffset > this->appliedOffset;
 }
 
 void
 ControlReader::Apply(std::uint64_t aOffset, const records::Batch& aBatch)
 {
   if (aBatch.writer() == this->queue.Writer().value) {
-    this->queue.Settled(aBatch.sequence());
+    this->queue.MarkCommitted(aBatch.sequence());
   }
-  if (this->waiting) {
-    this->kept.push_back(KeptBatch{ aOffset, aBatch });
+  if (this->awaitingSnapshot) {
+    this->bufferedBatches.push_back(BufferedBatch{ aOffset, aBatch });
   }
-  this->Fold(aOffset, aBatch);
+  this->ApplyBatch(aOffset, aBatch);
 }
 
 void
-ControlReader::Fold(std::uint64_t aOffset, const records::Batch& aBatch)
+ControlReader::ApplyBatch(std::uint64_t aOffset, const records::Batch& aBatch)
 {
-  for (int i = 0; this->waiting && i < aBatch.records_size(); ++i) {
+  for (int i = 0; this->awaitingSnapshot && i < aBatch.records_size(); ++i) {
     if (aBatch.records(i).has_snapshot()) {
-      this->TakeSnapshot(aBatch.records(i).snapshot());
+      this->LoadSnapshot(aBatch.records(i).snapshot());
     }
   }
-  if (this->waiting || aOffset <= this->folded) {
+  if (this->awaitingSnapshot || aOffset <= this->appliedOffset) {
     return;
   }
-  this->folded = aOffset;
-  if (!this->filter.Accept(WriterId{ aBatch.writer() }, aBatch.sequence())) {
+  this->appliedOffset = aOffset;
+  if (!this->deduplicator.Accept(WriterId{ aBatch.writer() },
+                                 aBatch.sequence())) {
     return;
   }
   for (int i = 0; i < aBatch.records_size(); ++i) {
@@ -62,38 +63,38 @@
 ControlReader::Restore(const records::ControlSnapshot& aSnapshot)
 {
   const std::uint64_t covered = OffsetOf(Position{ aSnapshot.covers() });
-  if (covered <= this->folded) {
+  if (covered <= this->appliedOffset) {
     return;
   }
-  this->folded = covered;
+  this->appliedOffset = covered;
   this->table.Restore(aSnapshot);
   std::map<WriterId, std::uint64_t> writers;
   for (const auto& [writer, sequence] : aSnapshot.writers()) {
     writers[WriterId{ writer }] = sequence;
   }
-  this->filter.Restore(std::move(writers));
+  this->deduplicator.Restore(std::move(writers));
 }
 
 void
-ControlReader::GoOn()
+ControlReader::ApplyBufferedBatches()
 {
-  this->waiting = false;
-  const std::vector<KeptBatch> behind = std::move(this->kept);
-  this->kept.clear();
-  for (const KeptBatch& batch : behind) {
-    this->Fold(batch.offset, batch.batch);
+  this->awaitingSnapshot = false;
+  const std::vector<BufferedBatch> behind = std::move(this->bufferedBatches);
+  this->bufferedBatches.clear();
+  for (const BufferedBatch& batch : behind) {
+    this->ApplyBatch(batch.offset, batch.batch);
   }
 }
 
 void
-ControlReader::TakeSnapshot(const records::ControlSnapshot& aSnapshot)
+ControlReader::LoadSnapshot(const records::ControlSnapshot& aSnapshot)
 {
   this->Restore(aSnapshot);
   // A snapshot that was overtaken by a later one may leave a gap between what
   // it covers and what the log still has; only one that reaches up to there
   // makes the state whole.
-  if (this->waiting && this->folded >= this->missing) {
-    this->GoOn();
+  if (this->awaitingSnapshot && this->appliedOffset >= this->requiredOffset) {
+    this->ApplyBufferedBatches();
   }
 }
 
@@ -101,8 +102,8 @@
 ControlReader::Snapshot() const
 {
   records::ControlSnapshot snapshot = this->table.Snapshot();
-  snapshot.set_covers(EndOf(this->folded).value);
-  for (const auto& [writer, sequence] : this->filter.All()) {
+  snapshot.set_covers(LastPositionAt(this->appliedOffset).value);
+  for (const auto& [writer, sequence] : this->deduplicator.HighestSequences()) {
     (*snapshot.mutable_writers())[writer.value] = sequence;
   }
   return snapshot;
--- a/src/coord/ControlReader.h
+++ b/src/coord/ControlReader.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "AppendQueue.h"
+#include "BatchDeduplicator.h"
 #include "ControlTable.h"
-#include "WriterFilter.h"
 
 #include <vector>
 
@@ -28,43 +28,46 @@
 
   /** Tells where the stream now begins, before the first batch.
    *  \param aEarliest the earliest offset the log still has. */
-  void BeginAt(std::uint64_t aEarliest);
+  void SetEarliestOffset(std::uint64_t aEarliest);
   /** Folds one batch. Offsets come in rising order; a batch at or below the
    * newest folded is ignored. */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
   /** Takes state in, from the log or, when that cannot be read, a peer. State
    * older than what is known is ignored. */
-  void TakeSnapshot(const records::ControlSnapshot& aSnapshot);
+  void LoadSnapshot(const records::ControlSnapshot& aSnapshot);
 
   /** Newest offset folded. */
-  [[nodiscard]] std::uint64_t Folded() const { return this->folded; }
+  [[nodiscard]] std::uint64_t AppliedOffset() const
+  {
+    return this->appliedOffset;
+  }
   /** Whether the state is whole, and not waiting for a snapshot. */
-  [[nodiscard]] bool Whole() const { return !this->waiting; }
+  [[nodiscard]] bool IsComplete() const { return !this->awaitingSnapshot; }
   [[nodiscard]] const ControlTable& Table() const { return this->table; }
   /** A snapshot of the state and of the writers seen. */
   [[nodiscard]] records::ControlSnapshot Snapshot() const;
   AppendQueue& Queue() { return this->queue; }
 
 private:
-  void Fold(std::uint64_t aOffset, const records::Batch& aBatch);
+  void ApplyBatch(std::uint64_t aOffset, const records::Batch& aBatch);
   void Restore(const records::ControlSnapshot& aSnapshot);
-  void GoOn();
+  void ApplyBufferedBatches();
 
-  struct KeptBatch
+  struct BufferedBatch
   {
     std::uint64_t offset = 0;
     records::Batch batch;
   };
 
   ControlTable table;
-  WriterFilter filter;
+  BatchDeduplicator deduplicator;
   AppendQueue queue;
-  bool waiting = false;
+  bool awaitingSnapshot = false;
   /** While waiting: the state must cover this offset before reading goes on. */
-  std::uint64_t missing = 0;
+  std::uint64_t requiredOffset = 0;
   /** Newest offset folded, whether or not its batch was new. */
-  std::uint64_t folded = 0;
-  std::vector<KeptBatch> kept;
+  std::uint64_t appliedOffset = 0;
+  std::vector<BufferedBatch> bufferedBatches;
 };
 
 } // namespace toucanshed
--- a/src/coord/ControlTable.cpp
+++ b/src/coord/ControlTable.cpp
@@ -1,6 +1,6 @@
 #include "ControlTable.h"
 
-#include "Document.h"
+#include "DocumentValidation.h"
 
 #include <algorithm>
 
@@ -9,16 +9,16 @@
 void
 ControlTable::Apply(Position aPosition, const records::Record& aRecord)
 {
-  if (aPosition <= this->applied) {
+  if (aPosition <= this->appliedPosition) {
     return;
   }
-  this->applied = aPosition;
+  this->appliedPosition = aPosition;
   if (aRecord.has_config()) {
     this->ApplyChange(aPosition, aRecord.config());
   } else if (aRecord.has_move_step()) {
-    this->ApplyStep(aRecord.move_step());
+    this->ApplyRolloutStep(aRecord.move_step());
   } else if (aRecord.has_move_end()) {
-    this->ApplyEnd(aRecord.move_end());
+    this->ApplyRolloutEnd(aRecord.move_end());
   }
 }
 
@@ -30,7 +30,7 @@
   const ServiceEntry* current = this->Find(service);
   const Position base = current == nullptr ? Position{} : current->revision;
   if (base.value != aChange.base_revision()) {
-    this->KeepVerdict(ChangeVerdict{
+    this->AddResult(ChangeResult{
       aChange.change_id(),
       false,
       base,
@@ -38,77 +38,77 @@
         ", but revision " + std::to_string(base.value) + " is in force" });
     return;
   }
-  const auto complaints = CheckDocument(aChange.document(), "document");
+  const auto complaints = ValidateDocument(aChange.document(), "document");
   if (!complaints.empty()) {
-    this->KeepVerdict(
-      ChangeVerdict{ aChange.change_id(), false, base, Describe(complaints) });
+    this->AddResult(ChangeResult{
+      aChange.change_id(), false, base, FormatValidationErrors(complaints) });
     return;
   }
-  for (auto& [position, move] : this->moves) {
-    if (move.service == service && move.status == MoveStatus::eRunning) {
-      move.status = MoveStatus::eOvertaken;
+  for (auto& [position, move] : this->rollouts) {
+    if (move.service == service && move.status == RolloutStatus::eRunning) {
+      move.status = RolloutStatus::eSuperseded;
       move.reason = "revision " + std::to_string(aPosition.value);
     }
   }
   this->services[service] = ServiceEntry{ aPosition, aChange.document() };
-  this->StartMove(aPosition, aChange);
-  this->KeepVerdict(ChangeVerdict{ aChange.change_id(), true, aPosition, {} });
+  this->StartRollout(aPosition, aChange);
+  this->AddResult(ChangeResult{ aChange.change_id(), true, aPosition, {} });
 }
 
 void
-ControlTable::StartMove(Position aPosition,
-                        const records::ConfigChange& aChange)
+ControlTable::StartRollout(Position aPosition,
+                           const records::ConfigChange& aChange)
 {
   if (!aChange.document().has_move()) {
     return;
   }
   const config::Move& asked = aChange.document().move();
-  MoveState state;
-  state.move = aPosition;
+  RolloutState state;
+  state.rollout = aPosition;
   state.service = ServiceId{ aChange.document().service() };
   state.from = VersionId{ asked.from() };
   state.to = VersionId{ asked.to() };
   state.started = TimePoint{ static_cast<std::int64_t>(aChange.written_ms()) };
-  this->moves[aPosition] = state;
-  while (this->moves.size() > kMostKept) {
+  this->rollouts[aPosition] = state;
+  while (this->rollouts.size() > kMaxRetained) {
     const auto ended = std::find_if(
-      this->moves.begin(), this->moves.end(), [&](const auto& aMove) {
+      this->rollouts.begin(), this->rollouts.end(), [&](const auto& aMove) {
         const ServiceEntry* entry = this->Find(aMove.second.service);
         return entry == nullptr || entry->revision != aMove.first;
       });
-    if (ended == this->moves.end()) {
+    if (ended == this->rollouts.end()) {
       return;
     }
-    this->moves.erase(ended);
+    this->rollouts.erase(ended);
   }
 }
 
 void
-ControlTable::ApplyStep(const records::MoveStep& aStep)
+ControlTable::ApplyRolloutStep(const records::RolloutStep& aStep)
 {
-  const auto found = this->moves.find(Position{ aStep.move() });
-  const bool legal = found != this->moves.end() &&
-                     found->second.status == MoveStatus::eRunning &&
+  const auto found = this->rollouts.find(Position{ aStep.move() });
+  const bool legal = found != this->rollouts.end() &&
+                     found->second.status == RolloutStatus::eRunning &&
                      aStep.step() == found->second.step + 1 &&
-                     aStep.step() <= kLastMoveStep;
+                     aStep.step() <= kLastRolloutStep;
   if (legal) {
     found->second.step = aStep.step();
   }
 }
 
 void
-ControlTable::ApplyEnd(const records::MoveEnd& aEnd)
+ControlTable::ApplyRolloutEnd(const records::RolloutEnd& aEnd)
 {
-  const auto found = this->moves.find(Position{ aEnd.move() });
-  if (found == this->moves.end() ||
-      found->second.status != MoveStatus::eRunning) {
+  const auto found = this->rollouts.find(Position{ aEnd.move() });
+  if (found == this->rollouts.end() ||
+      found->second.status != RolloutStatus::eRunning) {
     return;
   }
-  if (!aEnd.taken_back() && found->second.step != kLastMoveStep) {
+  if (!aEnd.taken_back() && found->second.step != kLastRolloutStep) {
     return;
   }
   found->second.status =
-    aEnd.taken_back() ? MoveStatus::eTakenBack : MoveStatus::eDone;
+    aEnd.taken_back() ? RolloutStatus::eRolledBack : RolloutStatus::eDone;
   found->second.reason = aEnd.reason();
 }
 
@@ -119,32 +119,32 @@
   return found == this->services.end() ? nullptr : &found->second;
 }
 
-const MoveState*
-ControlTable::RunningMove(const ServiceId& aService) const
+const RolloutState*
+ControlTable::FindRunningRollout(const ServiceId& aService) const
 {
   const ServiceEntry* entry = this->Find(aService);
   if (entry == nullptr) {
     return nullptr;
   }
-  const auto found = this->moves.find(entry->revision);
-  const bool running =
-    found != this->moves.end() && found->second.status == MoveStatus::eRunning;
+  const auto found = this->rollouts.find(entry->revision);
+  const bool running = found != this->rollouts.end() &&
+                       found->second.status == RolloutStatus::eRunning;
   return running ? &found->second : nullptr;
 }
 
 void
-ControlTable::KeepVerdict(ChangeVerdict aVerdict)
+ControlTable::AddResult(ChangeResult aVerdict)
 {
-  this->verdicts.push_back(std::move(aVerdict));
-  if (this->verdicts.size() > kMostKept) {
-    this->verdicts.pop_front();
+  this->changeResults.push_back(std::move(aVerdict));
+  if (this->changeResults.size() > kMaxRetained) {
+    this->changeResults.pop_front();
   }
 }
 
-std::optional<ChangeVerdict>
-ControlTable::VerdictOn(const std::string& aChangeId) const
+std::optional<ChangeResult>
+ControlTable::ResultOf(const std::string& aChangeId) const
 {
-  for (const ChangeVerdict& verdict : this->verdicts) {
+  for (const ChangeResult& verdict : this->changeResults) {
     if (verdict.changeId == aChangeId) {
       return verdict;
     }
@@ -156,14 +156,14 @@
 ControlTable::Snapshot() const
 {
   records::ControlSnapshot snapshot;
-  snapshot.set_covers(this->applied.value);
+  snapshot.set_covers(this->appliedPosition.value);
   for (const auto& [service, entry] : this->services) {
     auto* kept = snapshot.add_entries();
     kept->set_revision(entry.revision.value);
     *kept->mutable_document() = entry.document;
   }
-  for (const auto& [position, move] : this->moves) {
-    records::MoveState* kept = snapshot.add_moves();
+  for (const auto& [position, move] : this->rollouts) {
+    records::RolloutState* kept = snapshot.add_moves();
     kept->set_move(position.value);
     kept->set_service(move.service.value);
     kept->set_from(move.from.value);
@@ -179,34 +179,34 @@
 void
 ControlTable::Restore(const records::ControlSnapshot& aSnapshot)
 {
-  if (aSnapshot.covers() <= this->applied.value) {
+  if (aSnapshot.covers() <= this->appliedPosition.value) {
     return;
   }
-  this->applied = Position{ aSnapshot.covers() };
+  this->appliedPosition = Position{ aSnapshot.covers() };
   this->services.clear();
-  this->moves.clear();
+  this->rollouts.clear();
   for (const auto& kept : aSnapshot.entries()) {
     this->services[ServiceId{ kept.document().service() }] =
       ServiceEntry{ Position{ kept.revision() }, kept.document() };
   }
-  for (const records::MoveState& kept : aSnapshot.moves()) {
-    MoveState move;
-    move.move = Position{ kept.move() };
+  for (const records::RolloutState& kept : aSnapshot.moves()) {
+    RolloutState move;
+    move.rollout = Position{ kept.move() };
     move.service = ServiceId{ kept.service() };
     move.from = VersionId{ kept.from() };
     move.to = VersionId{ kept.to() };
     move.step = kept.step();
-    move.status = static_cast<MoveStatus>(kept.status());
+    move.status = static_cast<RolloutStatus>(kept.status());
     move.reason = kept.reason();
     move.started = TimePoint{ static_cast<std::int64_t>(kept.started_ms()) };
-    this->moves[move.move] = move;
+    this->rollouts[move.rollout] = move;
   }
 }
 
 std::vector<VersionShare>
-SharesInForce(const ServiceEntry& aEntry,
-              const MoveState* aNewestMove,
-              bool aTakenBack)
+EffectiveShares(const ServiceEntry& aEntry,
+                const RolloutState* aNewestMove,
+                bool aTakenBack)
 {
   std::vector<VersionShare> shares;
   if (aNewestMove == nullptr) {
@@ -218,12 +218,13 @@
   }
   constexpr std::uint32_t kWhole = 100;
   std::uint32_t moved = 0;
-  const bool back = aTakenBack || aNewestMove->status == MoveStatus::eTakenBack;
-  if (aNewestMove->status == MoveStatus::eDone) {
+  const bool back =
+    aTakenBack || aNewestMove->status == RolloutStatus::eRolledBack;
+  if (aNewestMove->status == RolloutStatus::eDone) {
     moved = kWhole;
   } else if (!back) {
-    moved = SharePercentAt(aNewestMove->step,
-                           aEntry.document.move().canary_percent());
+    moved = NewVersionPercentAt(aNewestMove->step,
+                                aEntry.document.move().canary_percent());
   }
   shares.push_back(VersionShare{ aNewestMove->to, moved });
   shares.push_back(VersionShare{ aNewestMove->from, kWhole - moved });
--- a/src/coord/ControlTable.h
+++ b/src/coord/ControlTable.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "MoveState.h"
+#include "RolloutState.h"
 #include "base/Types.h"
 #include "records.pb.h"
 
@@ -24,7 +24,7 @@
 };
 
 /** What the fold made of a change that an operator sent. */
-struct ChangeVerdict
+struct ChangeResult
 {
   std::string changeId;
   bool accepted = false;
@@ -51,17 +51,22 @@
   {
     return this->services;
   }
-  [[nodiscard]] const std::map<Position, MoveState>& Moves() const
+  [[nodiscard]] const std::map<Position, RolloutState>& RolloutsByRevision()
+    const
   {
-    return this->moves;
+    return this->rollouts;
   }
   /** The move that now runs for a service, or null. */
-  [[nodiscard]] const MoveState* RunningMove(const ServiceId& aService) const;
+  [[nodiscard]] const RolloutState* FindRunningRollout(
+    const ServiceId& aService) const;
   /** What became of a change, while it is among the newest kept. */
-  [[nodiscard]] std::optional<ChangeVerdict> VerdictOn(
+  [[nodiscard]] std::optional<ChangeResult> ResultOf(
     const std::string& aChangeId) const;
   /** Position of the newest record folded. */
-  [[nodiscard]] Position Applied() const { return this->applied; }
+  [[nodiscard]] Position AppliedPosition() const
+  {
+    return this->appliedPosition;
+  }
 
   /** Everything up to Applied, for daemons that start after the log has
    * dropped the records. */
@@ -71,19 +76,19 @@
   void Restore(const records::ControlSnapshot& aSnapshot);
 
   /** Ended moves kept for operators, and verdicts kept for `apply`. */
-  static constexpr std::size_t kMostKept = 1000;
+  static constexpr std::size_t kMaxRetained = 1000;
 
 private:
   void ApplyChange(Position aPosition, const records::ConfigChange& aChange);
-  void ApplyStep(const records::MoveStep& aStep);
-  void ApplyEnd(const records::MoveEnd& aEnd);
-  void StartMove(Position aPosition, const records::ConfigChange& aChange);
-  void KeepVerdict(ChangeVerdict aVerdict);
+  void ApplyRolloutStep(const records::RolloutStep& aStep);
+  void ApplyRolloutEnd(const records::RolloutEnd& aEnd);
+  void StartRollout(Position aPosition, const records::ConfigChange& aChange);
+  void AddResult(ChangeResult aVerdict);
 
   std::map<ServiceId, ServiceEntry> services;
-  std::map<Position, MoveState> moves;
-  std::deque<ChangeVerdict> verdicts;
-  Position applied;
+  std::map<Position, RolloutState> rollouts;
+  std::deque<ChangeResult> changeResults;
+  Position appliedPosition;
 };
 
 /** A version and its share of the traffic in percent. */
@@ -98,9 +103,9 @@
  * \param aTakenBack whether this daemon has heard that the move is taken back,
  *   even if the log does not say so yet. Thread safety: pure function. */
 std::vector<VersionShare>
-SharesInForce(const ServiceEntry& aEntry,
-              const MoveState* aNewestMove,
-              bool aTakenBack);
+EffectiveShares(const ServiceEntry& aEntry,
+                const RolloutState* aNewestMove,
+                bool aTakenBack);
 
 /** The version for a request, the same for the same hash on every daemon. */
 VersionId
--- a/src/coord/LateWork.h
+++ b/src/coord/DeferralPolicy.h
@@ -9,22 +9,22 @@
 namespace toucanshed {
 
 /** What is known of a request as it is to be sent. */
-struct SendChance
+struct DeferralInput
 {
   Millis waited{ 0 };    // since it arrived
   Millis target{ 0 };    // an answer that begins later is late; 0: none
-  Millis left{ 0 };      // until its caller's deadline
+  Millis timeLeft{ 0 };  // until its caller's deadline
   double expectedMs = 0; // from a send until the answer begins
-  double readingMs = 0;  // of it, for the request's own prompt
+  double prefillMs = 0;  // of it, for the request's own prompt
   /** The engine has no other prompt to read. */
-  bool nothingAhead = false;
+  bool queueEmpty = false;
 };
 
-enum class SendAdvice
+enum class DeferralDecision
 {
   eSend,
-  eWait,   // ask again soon
-  eRefuse, // its caller had better come back
+  eDefer,  // ask again soon
+  eReject, // its caller had better come back
 };
 
 /**
@@ -38,24 +38,24 @@
  *
  * Thread safety: pure.
  */
-class LateWork
+class DeferralPolicy
 {
 public:
   /** An engine is nearly free when an answer would begin within this part of
    * the target. */
-  static constexpr double kNearlyFree = 0.6;
+  static constexpr double kNearlyIdleShare = 0.6;
   /** A prompt that is read within this part of the target makes no other late.
    * Standing back for others would cost its caller more than it saves them. */
-  static constexpr double kShort = 0.1;
+  static constexpr double kShortPromptShare = 0.1;
   /** A request stands back for so many times its target at most; its caller
    * must have time left to come back in. */
-  static constexpr double kStandsBack = 1.5;
+  static constexpr double kMaxDeferralTargets = 1.5;
   /** How often a request that stands back asks again. */
-  static constexpr Millis kLook{ 40 };
+  static constexpr Millis kPollInterval{ 40 };
 
   /** What to do with a request now. Its caller asks again after kLook while the
    * answer is eWait. */
-  [[nodiscard]] static SendAdvice Advise(const SendChance& aChance);
+  [[nodiscard]] static DeferralDecision Decide(const DeferralInput& aChance);
 };
 
 } // namespace toucanshed
--- a/src/coord/Document.cpp
+++ b/src/coord/DocumentValidation.cpp
@@ -1,4 +1,4 @@
-#include "Document.h"
+#include "DocumentValidation.h"
 
 #include <algorithm>
 #include <google/protobuf/util/json_util.h>
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMostNameBytes = 64;
-constexpr std::uint32_t kWholeShare = 100;
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::uint32_t kFullSharePercent = 100;
 
 /** Collects complaints under one path. */
 class Checker
@@ -27,7 +27,7 @@
   {
     if (!aHolds) {
       this->complaints.push_back(
-        Complaint{ this->path + "." + aField, aGiven, aAllowed });
+        ValidationError{ this->path + "." + aField, aGiven, aAllowed });
     }
   }
 
@@ -49,13 +49,13 @@
         return std::isalnum(aLetter) != 0 || aLetter == '-' || aLetter == '_' ||
                aLetter == '.';
       });
-    this->Require(!aValue.empty() && aValue.size() <= kMostNameBytes && plain,
+    this->Require(!aValue.empty() && aValue.size() <= kMaxNameBytes && plain,
                   aField,
                   "\"" + aValue + "\"",
                   "1 to 64 letters, digits, '-', '_' or '.'");
   }
 
-  std::vector<Complaint> complaints;
+  std::vector<ValidationError> complaints;
 
 private:
   std::string path;
@@ -68,7 +68,7 @@
 }
 
 std::set<std::string>
-CheckVersions(const config::ServiceDocument& aDocument, Checker& aChecker)
+ValidateVersions(const config::ServiceDocument& aDocument, Checker& aChecker)
 {
   std::set<std::string> names;
   std::uint64_t sum = 0;
@@ -81,11 +81,11 @@
                      "each version once");
     aChecker.Range(version.share_percent(),
                    0,
-                   kWholeShare,
+                   kFullSharePercent,
                    At("versions", i, ".share_percent"));
     sum += version.share_percent();
   }
-  aChecker.Require(sum == kWholeShare,
+  aChecker.Require(sum == kFullSharePercent,
                    "versions",
                    "shares adding up to " + std::to_string(sum),
                    "shares adding up to 100");
@@ -93,9 +93,9 @@
 }
 
 void
-CheckMove(const config::Move& aMove,
-          const std::set<std::string>& aVersions,
-          Checker& aChecker)
+ValidateRollout(const config::Move& aMove,
+                const std::set<std::string>& aVersions,
+                Checker& aChecker)
 {
   const auto known = [&](const std::string& aName, const char* aField) {
     aChecker.Require(aVersions.count(aName) != 0,
@@ -120,7 +120,7 @@
 }
 
 void
-CheckRoutes(const config::ServiceDocument& aDocument, Checker& aChecker)
+ValidateRoutes(const config::ServiceDocument& aDocument, Checker& aChecker)
 {
   const bool model = aDocument.kind() == config::MODEL;
   aChecker.Require(!model || aDocument.routes_size() == 0,
@@ -143,7 +143,7 @@
 }
 
 void
-CheckTeams(const config::ServiceDocument& aDocument, Checker& aChecker)
+ValidateTeams(const config::ServiceDocument& aDocument, Checker& aChecker)
 {
   std::set<std::string> teams;
   for (int i = 0; i < aDocument.teams_size(); ++i) {
@@ -159,21 +159,21 @@
 
 } // namespace
 
-std::vector<Complaint>
-CheckDocument(const config::ServiceDocument& aDocument,
-              const std::string& aPath)
+std::vector<ValidationError>
+ValidateDocument(const config::ServiceDocument& aDocument,
+                 const std::string& aPath)
 {
   Checker checker(aPath);
   checker.Name(aDocument.service(), "service");
   const bool kind =
     aDocument.kind() == config::MODEL || aDocument.kind() == config::PLAIN;
   checker.Require(kind, "kind", "none", "MODEL or PLAIN");
-  const auto versions = CheckVersions(aDocument, checker);
+  const auto versions = ValidateVersions(aDocument, checker);
   if (aDocument.has_move()) {
-    CheckMove(aDocument.move(), versions, checker);
+    ValidateRollout(aDocument.move(), versions, checker);
   }
-  CheckRoutes(aDocument, checker);
-  CheckTeams(aDocument, checker);
+  ValidateRoutes(aDocument, checker);
+  ValidateTeams(aDocument, checker);
   if (aDocument.kind() == config::MODEL) {
     checker.Range(
       aDocument.first_token_target_ms(), 1, 60000, "first_token_target_ms");
@@ -181,36 +181,36 @@
   return checker.complaints;
 }
 
-tl::expected<config::ConfigurationDocument, std::vector<Complaint>>
+tl::expected<config::ConfigurationDocument, std::vector<ValidationError>>
 ParseConfiguration(const std::string& aJson)
 {
   config::ConfigurationDocument parsed;
   const auto status =
     google::protobuf::util::JsonStringToMessage(aJson, &parsed);
-  std::vector<Complaint> complaints;
+  std::vector<ValidationError> complaints;
   if (!status.ok()) {
-    complaints.push_back(Complaint{ "document",
-                                    std::string(status.message()),
-                                    "JSON of the configuration schema" });
-    return tl::unexpected<std::vector<Complaint>>(complaints);
+    complaints.push_back(ValidationError{ "document",
+                                          std::string(status.message()),
+                                          "JSON of the configuration schema" });
+    return tl::unexpected<std::vector<ValidationError>>(complaints);
   }
   std::set<std::string> services;
   for (int i = 0; i < parsed.services_size(); ++i) {
     const std::string path = "services[" + std::to_string(i) + "]";
-    const auto found = CheckDocument(parsed.services(i), path);
+    const auto found = ValidateDocument(parsed.services(i), path);
     complaints.insert(complaints.end(), found.begin(), found.end());
     if (!services.insert(parsed.services(i).service()).second) {
       complaints.push_back(
-        Complaint{ path + ".service",
-                   "\"" + parsed.services(i).service() + "\" again",
-                   "each service once" });
+        ValidationError{ path + ".service",
+                         "\"" + parsed.services(i).service() + "\" again",
+                         "each service once" });
     }
   }
   if (parsed.services_size() == 0) {
-    complaints.push_back(Complaint{ "services", "none", "at least one" });
+    complaints.push_back(ValidationError{ "services", "none", "at least one" });
   }
   if (!complaints.empty()) {
-    return tl::unexpected<std::vector<Complaint>>(complaints);
+    return tl::unexpected<std::vector<ValidationError>>(complaints);
   }
   return parsed;
 }
--- a/src/coord/Document.h
+++ b/src/coord/DocumentValidation.h
@@ -5,8 +5,8 @@
  */
 #pragma once
 
-#include "base/Complaint.h"
 #include "base/Result.h"
+#include "base/ValidationError.h"
 #include "config.pb.h"
 
 #include <string>
@@ -17,9 +17,9 @@
 /** What is wrong with one service's document; empty when it is valid.
  * \param aPath where the document stands, for the complaints. Thread safety:
  * pure function. */
-std::vector<Complaint>
-CheckDocument(const config::ServiceDocument& aDocument,
-              const std::string& aPath);
+std::vector<ValidationError>
+ValidateDocument(const config::ServiceDocument& aDocument,
+                 const std::string& aPath);
 
 /** Parses and checks a whole configuration file in JSON. Nothing of a file
  * with a complaint is used.
@@ -30,7 +30,7 @@
  * \endcode
  *
  * Thread safety: pure function. */
-tl::expected<config::ConfigurationDocument, std::vector<Complaint>>
+tl::expected<config::ConfigurationDocument, std::vector<ValidationError>>
 ParseConfiguration(const std::string& aJson);
 
 } // namespace toucanshed
--- a/src/coord/DutyLog.cpp
+++ b/src/coord/DutyLog.cpp
@@ -3,11 +3,11 @@
 namespace toucanshed {
 
 void
-DutyLog::Claimed(DutyClaim aClaim)
+DutyLog::SetClaim(DutyClaim aClaim)
 {
   const bool other = this->claim && this->claim->holder != aClaim.holder;
   if (other) {
-    this->overtaken.insert(this->claim->holder);
+    this->superseded.insert(this->claim->holder);
   }
   this->claim = std::move(aClaim);
 }
@@ -15,14 +15,14 @@
 void
 DutyLog::Apply(const serving::DutyRecord& aRecord, TimePoint aNow)
 {
-  const Position at = this->end;
-  ++this->end.value;
-  this->newestAt = aNow;
+  const Position at = this->nextPosition;
+  ++this->nextPosition.value;
+  this->latestAt = aNow;
   const bool decides =
     aRecord.has_usage() || aRecord.scale_size() > 0 || aRecord.has_move();
   const DaemonId holder{ aRecord.holder() };
   if (!decides) {
-    this->Claimed(
+    this->SetClaim(
       DutyClaim{ holder, aRecord.life(), Position{ at.value + 1 } });
     return;
   }
@@ -30,22 +30,23 @@
   const bool claimIsGone =
     !this->claim || this->claim->fence.value < aRecord.fence();
   if (claimIsGone) {
-    this->Claimed(
+    this->SetClaim(
       DutyClaim{ holder, aRecord.life(), Position{ aRecord.fence() } });
   }
   const bool valid = this->claim->fence.value == aRecord.fence();
   if (valid && aRecord.has_move()) {
     // The first decision about an order stands.
-    serving::MoveDecision& known = this->moves[aRecord.move().service()];
+    serving::RolloutDecision& known =
+      this->rolloutDecisions[aRecord.move().service()];
     if (aRecord.move().order() > known.order() || known.service().empty()) {
       known = aRecord.move();
     }
   }
   if (valid && aRecord.has_usage()) {
     // The first record of a window stands; a second one changes nothing.
-    this->reports.try_emplace(aRecord.usage().window(), aRecord.usage());
-    while (this->reports.size() > kMostReports) {
-      this->reports.erase(this->reports.begin());
+    this->usageReports.try_emplace(aRecord.usage().window(), aRecord.usage());
+    while (this->usageReports.size() > kMaxReports) {
+      this->usageReports.erase(this->usageReports.begin());
     }
   }
 }
--- a/src/coord/DutyLog.h
+++ b/src/coord/DutyLog.h
@@ -18,7 +18,7 @@
 struct DutyClaim
 {
   DaemonId holder;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   /** One beyond its record's position, as 0 stands for no claim. Grows from
    * claim to claim, and no two claims share one. */
   Position fence;
@@ -39,47 +39,47 @@
 {
 public:
   /** Reports kept; far more windows than can still be reported. */
-  static constexpr std::size_t kMostReports = 20;
+  static constexpr std::size_t kMaxReports = 20;
 
   /** Takes the record at End(). \param aNow when it was read. */
   void Apply(const serving::DutyRecord& aRecord, TimePoint aNow);
   /** Goes on at a later position, when the records before it are gone. */
-  void SkipTo(Position aPosition) { this->end = aPosition; }
+  void SkipTo(Position aPosition) { this->nextPosition = aPosition; }
 
-  [[nodiscard]] Position End() const { return this->end; }
+  [[nodiscard]] Position NextPosition() const { return this->nextPosition; }
   [[nodiscard]] const std::optional<DutyClaim>& Claim() const
   {
     return this->claim;
   }
   /** Whether another daemon has claimed what this one held. */
-  [[nodiscard]] bool WasOvertaken(const DaemonId& aId) const
+  [[nodiscard]] bool WasSuperseded(const DaemonId& aId) const
   {
-    return this->overtaken.contains(aId);
+    return this->superseded.contains(aId);
   }
   /** When the newest record was read; a holder that lives adds some. */
-  [[nodiscard]] TimePoint NewestAt() const { return this->newestAt; }
+  [[nodiscard]] TimePoint LatestAt() const { return this->latestAt; }
   /** The newest decision about a service's move, by the service's name. */
-  [[nodiscard]] const std::map<std::string, serving::MoveDecision>& Moves()
-    const
+  [[nodiscard]] const std::map<std::string, serving::RolloutDecision>&
+  RolloutDecisions() const
   {
-    return this->moves;
+    return this->rolloutDecisions;
   }
   /** What was recorded for each window. */
-  [[nodiscard]] const std::map<std::uint64_t, serving::UsageReport>& Reports()
-    const
+  [[nodiscard]] const std::map<std::uint64_t, serving::UsageReport>&
+  UsageReports() const
   {
-    return this->reports;
+    return this->usageReports;
   }
 
 private:
-  void Claimed(DutyClaim aClaim);
+  void SetClaim(DutyClaim aClaim);
 
-  Position end;
-  std::set<DaemonId> overtaken;
+  Position nextPosition;
+  std::set<DaemonId> superseded;
   std::optional<DutyClaim> claim;
-  TimePoint newestAt;
-  std::map<std::uint64_t, serving::UsageReport> reports;
-  std::map<std::string, serving::MoveDecision> moves;
+  TimePoint latestAt;
+  std::map<std::uint64_t, serving::UsageReport> usageReports;
+  std::map<std::string, serving::RolloutDecision> rolloutDecisions;
 };
 
 } // namespace toucanshed
--- a/src/coord/Engine.h
+++ b/src/coord/Engine.h
@@ -29,25 +29,27 @@
 /** "ID/INCARNATION": one life of a back end. A process restarted at the same
  * address is another one, and nothing said of the old one holds for it. */
 std::string
-LifeOf(const EngineReport& aReport);
+IncarnationKeyOf(const EngineReport& aReport);
 
 /** A back end with what this daemon itself has in flight there. */
 struct Engine
 {
   EngineReport report;
-  std::uint64_t inFlight = 0;      // sent by this daemon, not ended
-  std::uint64_t reports = 0;       // taken in so far
-  std::uint64_t freshInFlight = 0; // of inFlight, sent since the last report
-  std::uint64_t ended = 0;         // of those in the last report, since ended
-  double meanServiceMs = 400;      // time a request holds a slot
-  double slowness = 1;             // first tokens seen against expected
+  std::uint64_t inFlight = 0;    // sent by this daemon, not ended
+  std::uint64_t reportCount = 0; // taken in so far
+  std::uint64_t inFlightSinceReport =
+    0; // of inFlight, sent since the last report
+  std::uint64_t endedSinceReport =
+    0;                        // of those in the last report, since ended
+  double meanServiceMs = 400; // time a request holds a slot
+  double slowness = 1;        // first tokens seen against expected
   TimePoint downUntil;
-  AdaptiveLimit limit{ 1 };
+  AdaptiveLimit concurrencyLimit{ 1 };
 
   /** Requests there by now, estimated.
    * \param aDaemons how many daemons send there; the others are taken to have
    *   sent since the report what this one has. */
-  [[nodiscard]] double Load(double aDaemons) const;
+  [[nodiscard]] double EstimatedLoad(double aDaemons) const;
 };
 
 } // namespace toucanshed
--- a/src/coord/EngineLimits.cpp
+++ b/src/coord/EngineLimits.cpp
@@ -1,6 +1,6 @@
 #include "EngineLimits.h"
 
-#include "LimitSharers.h"
+#include "LimitShares.h"
 #include "base/Hash.h"
 
 #include <algorithm>
@@ -28,32 +28,33 @@
 } // namespace
 
 bool
-EngineLimits::Answered(const InstanceId& aEngine,
-                       std::int64_t aBorn,
-                       std::optional<RequestRate> aLimit,
-                       TimePoint aNow)
+EngineLimits::RecordResponse(const InstanceId& aEngine,
+                             std::int64_t aBorn,
+                             std::optional<RequestRate> aLimit,
+                             TimePoint aNow)
 {
   const auto found = this->limits.find(aEngine);
   const bool known = found != this->limits.end();
-  if (!aLimit && (!known || found->second.news.ended)) {
+  if (!aLimit && (!known || found->second.latest.ended)) {
     return false;
   }
-  LimitNews news{ aEngine, aBorn, RequestRate{}, !aLimit, aNow };
-  news.rate = aLimit ? *aLimit : found->second.news.rate;
+  LimitUpdate news{ aEngine, aBorn, RequestRate{}, !aLimit, aNow };
+  news.rate = aLimit ? *aLimit : found->second.latest.rate;
   Limit& limit = this->limits[aEngine];
-  const bool begins = !known || (limit.news.ended && !news.ended);
+  const bool begins = !known || (limit.latest.ended && !news.ended);
   const bool other = this->Apply(limit, news, aNow);
-  const bool falls = !news.ended && news.rate.perS < kOtherPart * limit.told;
+  const bool falls = !news.ended && news.rate.perSecond <
+                                      kSignificantChange * limit.reportedPerS;
   limit.urgent = limit.urgent || begins || falls;
   return other;
 }
 
 bool
-EngineLimits::Told(const LimitNews& aNews, TimePoint aNow)
+EngineLimits::ReceiveUpdate(const LimitUpdate& aNews, TimePoint aNow)
 {
   const auto found = this->limits.find(aNews.engine);
   const bool known = found != this->limits.end();
-  if (known && aNews.asOf <= found->second.news.asOf) {
+  if (known && aNews.asOf <= found->second.latest.asOf) {
     return false;
   }
   if (!known && aNews.ended) {
@@ -61,25 +62,25 @@
   }
   Limit& limit = this->limits[aNews.engine];
   const bool other = this->Apply(limit, aNews, aNow);
-  limit.told = aNews.rate.perS;
+  limit.reportedPerS = aNews.rate.perSecond;
   limit.urgent = false;
   return other;
 }
 
 bool
-EngineLimits::Apply(Limit& aLimit, const LimitNews& aNews, TimePoint aNow)
-{
-  this->Fill(aLimit, aNow); // at the rate until now
-  const double rate = aNews.ended ? 0 : aNews.rate.perS;
-  const bool other =
-    rate < kOtherPart * aLimit.noted || aLimit.noted < kOtherPart * rate;
-  aLimit.noted = other ? rate : aLimit.noted;
-  const bool ends = aNews.ended && !aLimit.news.ended;
+EngineLimits::Apply(Limit& aLimit, const LimitUpdate& aNews, TimePoint aNow)
+{
+  this->Refill(aLimit, aNow); // at the rate until now
+  const double rate = aNews.ended ? 0 : aNews.rate.perSecond;
+  const bool other = rate < kSignificantChange * aLimit.significantPerS ||
+                     aLimit.significantPerS < kSignificantChange * rate;
+  aLimit.significantPerS = other ? rate : aLimit.significantPerS;
+  const bool ends = aNews.ended && !aLimit.latest.ended;
   if (ends) {
     aLimit.endedAt = aNow;
   }
-  aLimit.news = aNews;
-  this->FindPart(aLimit, aNow);
+  aLimit.latest = aNews;
+  this->UpdateShare(aLimit, aNow);
   return other;
 }
 
@@ -88,29 +89,31 @@
 {
   std::erase_if(this->limits, [aNow](const auto& aPair) {
     const Limit& limit = aPair.second;
-    return limit.news.ended && aNow - limit.endedAt >= kEndRemembered;
+    return limit.latest.ended && aNow - limit.endedAt >= kEndRetention;
   });
 }
 
 bool
-EngineLimits::Holds(const Limit& aLimit, TimePoint aNow)
+EngineLimits::InEffect(const Limit& aLimit, TimePoint aNow)
 {
-  return !aLimit.news.ended || aNow - aLimit.endedAt < kRecovery;
+  return !aLimit.latest.ended || aNow - aLimit.endedAt < kRecoveryTime;
 }
 
 EngineLimits::Limit*
 EngineLimits::Find(const InstanceId& aEngine, TimePoint aNow)
 {
   const auto found = this->limits.find(aEngine);
-  const bool holds = found != this->limits.end() && Holds(found->second, aNow);
+  const bool holds =
+    found != this->limits.end() && InEffect(found->second, aNow);
   return holds ? &found->second : nullptr;
 }
 
 RequestRate
-EngineLimits::Rate(const Limit& aLimit, TimePoint aNow)
+EngineLimits::EffectiveRate(const Limit& aLimit, TimePoint aNow)
 {
-  const double named = std::max(aLimit.news.rate.perS, kLeast.perS);
-  if (!aLimit.news.ended) {
+  const double named =
+    std::max(aLimit.latest.rate.perSecond, kMinRate.perSecond);
+  if (!aLimit.latest.ended) {
     return RequestRate{ named };
   }
   return RequestRate{ named * std::exp2(Seconds(aNow - aLimit.endedAt)) };
@@ -120,114 +123,116 @@
 EngineLimits::RateOf(const InstanceId& aEngine, TimePoint aNow) const
 {
   const auto found = this->limits.find(aEngine);
-  if (found == this->limits.end() || !Holds(found->second, aNow)) {
+  if (found == this->limits.end() || !InEffect(found->second, aNow)) {
     return std::nullopt;
   }
-  return Rate(found->second, aNow);
+  return EffectiveRate(found->second, aNow);
 }
 
 void
-EngineLimits::FindPart(Limit& aLimit, TimePoint aNow) const
+EngineLimits::UpdateShare(Limit& aLimit, TimePoint aNow) const
 {
-  aLimit.partAt = aNow;
-  const double rate = Rate(aLimit, aNow).perS;
+  aLimit.shareCheckedAt = aNow;
+  const double rate = EffectiveRate(aLimit, aNow).perSecond;
   const auto parts =
-    std::min(this->sharers.Count(aNow),
-             static_cast<std::size_t>(std::floor(rate) + kSpareParts));
-  const std::uint64_t key = Hash64(aLimit.news.engine.value);
+    std::min(this->shares.SharingDaemons(aNow),
+             static_cast<std::size_t>(std::floor(rate) + kExtraShares));
+  const std::uint64_t key = Hash64(aLimit.latest.engine.value);
   const bool mine =
-    this->sharers.MayUse(aNow) && this->sharers.HasPart(key, parts, aNow);
-  aLimit.partPerS = mine ? rate / static_cast<double>(parts) : 0;
+    this->shares.CanUseShares(aNow) && this->shares.HasShare(key, parts, aNow);
+  aLimit.sharePerS = mine ? rate / static_cast<double>(parts) : 0;
   if (!mine) {
-    aLimit.saved = 0;
+    aLimit.credit = 0;
   }
 }
 
 void
-EngineLimits::Fill(Limit& aLimit, TimePoint aNow) const
-{
-  const double gained = aLimit.partPerS * Seconds(aNow - aLimit.filled);
-  const double most = std::max(1.0, aLimit.partPerS * Seconds(kSaved));
-  aLimit.saved = std::min(most, aLimit.saved + gained);
-  aLimit.filled = aNow;
-  if (!aLimit.partAt || aNow - *aLimit.partAt >= kPartLook) {
-    this->FindPart(aLimit, aNow);
+EngineLimits::Refill(Limit& aLimit, TimePoint aNow) const
+{
+  const double gained = aLimit.sharePerS * Seconds(aNow - aLimit.refilledAt);
+  const double most = std::max(1.0, aLimit.sharePerS * Seconds(kBurstWindow));
+  aLimit.credit = std::min(most, aLimit.credit + gained);
+  aLimit.refilledAt = aNow;
+  if (!aLimit.shareCheckedAt ||
+      aNow - *aLimit.shareCheckedAt >= kShareRefreshInterval) {
+    this->UpdateShare(aLimit, aNow);
   }
 }
 
-LimitUse
-EngineLimits::Room(const InstanceId& aEngine, TimePoint aNow)
+LimitDecision
+EngineLimits::Check(const InstanceId& aEngine, TimePoint aNow)
 {
   Limit* limit = this->Find(aEngine, aNow);
   if (limit == nullptr) {
-    return LimitUse::eFree;
+    return LimitDecision::eUnlimited;
   }
-  this->Fill(*limit, aNow);
-  return limit->saved >= 1 ? LimitUse::eTaken : LimitUse::eNone;
+  this->Refill(*limit, aNow);
+  return limit->credit >= 1 ? LimitDecision::eAllowed
+                            : LimitDecision::eExhausted;
 }
 
-LimitUse
-EngineLimits::Take(const InstanceId& aEngine, TimePoint aNow)
+LimitDecision
+EngineLimits::TryAcquire(const InstanceId& aEngine, TimePoint aNow)
 {
-  const LimitUse use = this->Room(aEngine, aNow);
-  if (use == LimitUse::eTaken) {
-    this->limits.at(aEngine).saved -= 1;
+  const LimitDecision use = this->Check(aEngine, aNow);
+  if (use == LimitDecision::eAllowed) {
+    this->limits.at(aEngine).credit -= 1;
   }
   return use;
 }
 
 Millis
-EngineLimits::Wait(const InstanceId& aEngine, TimePoint aNow)
+EngineLimits::RetryDelay(const InstanceId& aEngine, TimePoint aNow)
 {
   Limit* limit = this->Find(aEngine, aNow);
   if (limit == nullptr) {
     return Millis(0);
   }
-  this->Fill(*limit, aNow);
-  if (limit->saved >= 1) {
+  this->Refill(*limit, aNow);
+  if (limit->credit >= 1) {
     return Millis(0);
   }
-  if (limit->partPerS > 0) {
-    return MillisFor(1 - limit->saved, limit->partPerS);
+  if (limit->sharePerS > 0) {
+    return MillisFor(1 - limit->credit, limit->sharePerS);
   }
-  return MillisFor(1, Rate(*limit, aNow).perS);
+  return MillisFor(1, EffectiveRate(*limit, aNow).perSecond);
 }
 
 bool
-EngineLimits::HasUrgent() const
+EngineLimits::HasUrgentUpdates() const
 {
   return std::any_of(this->limits.begin(),
                      this->limits.end(),
                      [](const auto& aPair) { return aPair.second.urgent; });
 }
 
-std::vector<LimitNews>
-EngineLimits::TakeUrgent()
+std::vector<LimitUpdate>
+EngineLimits::TakeUrgentUpdates()
 {
-  std::vector<LimitNews> news;
+  std::vector<LimitUpdate> news;
   for (auto& [engine, limit] : this->limits) {
     if (limit.urgent) {
       limit.urgent = false;
-      limit.told = limit.news.rate.perS;
-      news.push_back(limit.news);
+      limit.reportedPerS = limit.latest.rate.perSecond;
+      news.push_back(limit.latest);
     }
   }
   return news;
 }
 
-std::vector<LimitNews>
-EngineLimits::TakeForWord()
+std::vector<LimitUpdate>
+EngineLimits::TakeHeartbeatUpdates()
 {
-  std::vector<LimitNews> news;
-  auto next = this->limits.upper_bound(this->toldLast);
-  const std::size_t most = std::min(kMostTold, this->limits.size());
+  std::vector<LimitUpdate> news;
+  auto next = this->limits.upper_bound(this->lastReported);
+  const std::size_t most = std::min(kMaxPerHeartbeat, this->limits.size());
   while (news.size() < most) {
     if (next == this->limits.end()) {
       next = this->limits.begin();
     }
-    next->second.told = next->second.news.rate.perS;
-    news.push_back(next->second.news);
-    this->toldLast = next->first;
+    next->second.reportedPerS = next->second.latest.rate.perSecond;
+    news.push_back(next->second.latest);
+    this->lastReported = next->first;
     ++next;
   }
   return news;
--- a/src/coord/EngineLimits.h
+++ b/src/coord/EngineLimits.h
@@ -14,24 +14,24 @@
 
 namespace toucanshed {
 
-class LimitSharers;
+class LimitShares;
 
 /** What is known of one engine's limit. */
-struct LimitNews
+struct LimitUpdate
 {
   InstanceId engine;
-  std::int64_t born = 0; // the engine's life that named it
-  RequestRate rate;      // named last
-  bool ended = false;    // its answers name none any more
-  TimePoint asOf;        // of the answer, by this daemon's clock
+  std::int64_t incarnation = 0; // the engine's life that named it
+  RequestRate rate;             // named last
+  bool ended = false;           // its answers name none any more
+  TimePoint asOf;               // of the answer, by this daemon's clock
 };
 
 /** Whether a request may be sent to an engine. */
-enum class LimitUse
+enum class LimitDecision
 {
-  eFree,  // the engine has no limit
-  eTaken, // the limit has room for it
-  eNone,  // it has none now
+  eUnlimited, // the engine has no limit
+  eAllowed,   // the limit has room for it
+  eExhausted, // it has none now
 };
 
 /**
@@ -53,27 +53,27 @@
 {
 public:
   /** Parts beyond one for each request a second. */
-  static constexpr double kSpareParts = 3;
+  static constexpr double kExtraShares = 3;
   /** What a part saves up at the most, if that is more than a request. */
-  static constexpr Millis kSaved{ 500 };
+  static constexpr Millis kBurstWindow{ 500 };
   /** An engine that takes less is still sent so many, as only an answer can
    * tell that it takes more again. */
-  static constexpr RequestRate kLeast{ 0.1 };
+  static constexpr RequestRate kMinRate{ 0.1 };
   /** After an engine names no limit any more its rate doubles each second for
    * so long; then it has none. All daemons at once would bring it into need
    * again. */
-  static constexpr Millis kRecovery{ 5000 };
+  static constexpr Millis kRecoveryTime{ 5000 };
   /** How long the end of a limit is remembered, so that an older word does not
    * bring it back. */
-  static constexpr Millis kEndRemembered{ 60000 };
+  static constexpr Millis kEndRetention{ 60000 };
   /** A limit is quite another below this part of what it was, or when it was
    * below this part of what it is. */
-  static constexpr double kOtherPart = 0.7;
+  static constexpr double kSignificantChange = 0.7;
   /** Limits in one regular word; each word has others. */
-  static constexpr std::size_t kMostTold = 8;
+  static constexpr std::size_t kMaxPerHeartbeat = 8;
 
-  explicit EngineLimits(const LimitSharers& aSharers)
-    : sharers(aSharers)
+  explicit EngineLimits(const LimitShares& aSharers)
+    : shares(aSharers)
   {
   }
   EngineLimits(const EngineLimits&) = delete;
@@ -81,13 +81,13 @@
 
   /** An answer of the engine came, and named the limit or none.
    * \return whether the limit begins, ends, or is quite another */
-  bool Answered(const InstanceId& aEngine,
-                std::int64_t aBorn,
-                std::optional<RequestRate> aLimit,
-                TimePoint aNow);
+  bool RecordResponse(const InstanceId& aEngine,
+                      std::int64_t aBorn,
+                      std::optional<RequestRate> aLimit,
+                      TimePoint aNow);
   /** Another daemon tells what it knows. Older knowledge changes nothing.
    * \return as for Answered */
-  bool Told(const LimitNews& aNews, TimePoint aNow);
+  bool ReceiveUpdate(const LimitUpdate& aNews, TimePoint aNow);
   /** The engine has gone or begun another life. */
   void Forget(const InstanceId& aEngine) { this->limits.erase(aEngine); }
   /** Forgets limits that ended long ago. */
@@ -96,52 +96,53 @@
   /** Whether no engine has had a limit lately. */
   [[nodiscard]] bool Empty() const { return this->limits.empty(); }
   /** Whether a request may be sent to the engine now; Take also counts it. */
-  [[nodiscard]] LimitUse Room(const InstanceId& aEngine, TimePoint aNow);
-  LimitUse Take(const InstanceId& aEngine, TimePoint aNow);
+  [[nodiscard]] LimitDecision Check(const InstanceId& aEngine, TimePoint aNow);
+  LimitDecision TryAcquire(const InstanceId& aEngine, TimePoint aNow);
   /** How long until the engine takes a further request, from whichever daemon;
    * 0 when it has no limit. */
-  [[nodiscard]] Millis Wait(const InstanceId& aEngine, TimePoint aNow);
+  [[nodiscard]] Millis RetryDelay(const InstanceId& aEngine, TimePoint aNow);
   /** What the engine takes from all daemons together; nothing when it has no
    * limit. */
   [[nodiscard]] std::optional<RequestRate> RateOf(const InstanceId& aEngine,
                                                   TimePoint aNow) const;
 
   /** What the other daemons must hear at once; counts as told. */
-  std::vector<LimitNews> TakeUrgent();
-  [[nodiscard]] bool HasUrgent() const;
+  std::vector<LimitUpdate> TakeUrgentUpdates();
+  [[nodiscard]] bool HasUrgentUpdates() const;
   /** For a regular word; counts as told. */
-  std::vector<LimitNews> TakeForWord();
+  std::vector<LimitUpdate> TakeHeartbeatUpdates();
 
 private:
   /** How often it is looked up whether a part belongs to this daemon. */
-  static constexpr Millis kPartLook{ 100 };
+  static constexpr Millis kShareRefreshInterval{ 100 };
 
   struct Limit
   {
-    LimitNews news;
+    LimitUpdate latest;
     TimePoint endedAt;
-    double told = 0;  // rate that the others know; 0: none
-    double noted = 0; // the last one that was quite another; 0: none
+    double reportedPerS = 0;    // rate that the others know; 0: none
+    double significantPerS = 0; // the last one that was quite another; 0: none
     bool urgent = false;
     // This daemon's part.
-    double saved = 0; // requests
-    TimePoint filled;
-    double partPerS = 0;
-    std::optional<TimePoint> partAt; // when it was looked up
+    double credit = 0; // requests
+    TimePoint refilledAt;
+    double sharePerS = 0;
+    std::optional<TimePoint> shareCheckedAt; // when it was looked up
   };
 
-  [[nodiscard]] static bool Holds(const Limit& aLimit, TimePoint aNow);
+  [[nodiscard]] static bool InEffect(const Limit& aLimit, TimePoint aNow);
   /** The engine's limit; null when it has none. */
   [[nodiscard]] Limit* Find(const InstanceId& aEngine, TimePoint aNow);
-  [[nodiscard]] static RequestRate Rate(const Limit& aLimit, TimePoint aNow);
+  [[nodiscard]] static RequestRate EffectiveRate(const Limit& aLimit,
+                                                 TimePoint aNow);
   /** \return as Answered. */
-  bool Apply(Limit& aLimit, const LimitNews& aNews, TimePoint aNow);
-  void FindPart(Limit& aLimit, TimePoint aNow) const;
-  void Fill(Limit& aLimit, TimePoint aNow) const;
+  bool Apply(Limit& aLimit, const LimitUpdate& aNews, TimePoint aNow);
+  void UpdateShare(Limit& aLimit, TimePoint aNow) const;
+  void Refill(Limit& aLimit, TimePoint aNow) const;
 
-  const LimitSharers& sharers;
+  const LimitShares& shares;
   std::map<InstanceId, Limit> limits;
-  InstanceId toldLast; // in a regular word
+  InstanceId lastReported; // in a regular word
 };
 
 } // namespace toucanshed
--- a/src/coord/EventSplitter.cpp
+++ b/src/coord/EventSplitter.cpp
@@ -46,14 +46,14 @@
   if (!aEvent.id) {
     return true;
   }
-  if (this->last && *aEvent.id <= *this->last) {
+  if (this->lastId && *aEvent.id <= *this->lastId) {
     return false;
   }
-  if (this->last && *aEvent.id != *this->last + 1) {
+  if (this->lastId && *aEvent.id != *this->lastId + 1) {
     this->broken = true;
     return false;
   }
-  this->last = aEvent.id;
+  this->lastId = aEvent.id;
   return true;
 }
 
@@ -63,7 +63,7 @@
   while (!this->broken) {
     const std::size_t length = EventLength(this->pending);
     if (length == std::string::npos) {
-      this->broken = this->pending.size() > kMostEventBytes;
+      this->broken = this->pending.size() > kMaxEventBytes;
       return std::nullopt;
     }
     StreamEvent event;
@@ -71,7 +71,7 @@
     this->pending.erase(0, length);
     event.id = IdOf(event.bytes);
     if (this->Accept(event)) {
-      ++this->given;
+      ++this->returnedCount;
       return event;
     }
   }
--- a/src/coord/EventSplitter.h
+++ b/src/coord/EventSplitter.h
@@ -35,7 +35,7 @@
 public:
   /** \param aAfter id of the last event that the caller has. */
   explicit EventSplitter(std::optional<std::uint64_t> aAfter = std::nullopt)
-    : last(aAfter)
+    : lastId(aAfter)
   {
   }
 
@@ -48,23 +48,29 @@
   /** An id was missing, so what follows must not reach the caller. */
   [[nodiscard]] bool Broken() const { return this->broken; }
   /** Bytes of an event that has not ended. */
-  [[nodiscard]] bool HasRest() const { return !this->pending.empty(); }
-  [[nodiscard]] std::optional<std::uint64_t> Last() const { return this->last; }
+  [[nodiscard]] bool HasPartialEvent() const { return !this->pending.empty(); }
+  [[nodiscard]] std::optional<std::uint64_t> LastId() const
+  {
+    return this->lastId;
+  }
   /** Events given out. */
-  [[nodiscard]] std::uint64_t Given() const { return this->given; }
+  [[nodiscard]] std::uint64_t ReturnedCount() const
+  {
+    return this->returnedCount;
+  }
 
   /** Forgets the unfinished rest; a new engine goes on after Last(). */
-  void Restart() { this->pending.clear(); }
+  void DiscardPartialEvent() { this->pending.clear(); }
 
   /** An unfinished event larger than this is a fault of the engine. */
-  static constexpr std::size_t kMostEventBytes = 1U << 20U;
+  static constexpr std::size_t kMaxEventBytes = 1U << 20U;
 
 private:
   bool Accept(const StreamEvent& aEvent);
 
   std::string pending;
-  std::optional<std::uint64_t> last;
-  std::uint64_t given = 0;
+  std::optional<std::uint64_t> lastId;
+  std::uint64_t returnedCount = 0;
   bool broken = false;
 };
 
--- a/src/coord/Evidence.cpp
+++ b/src/coord/Evidence.cpp
@@ -8,19 +8,19 @@
 
 void
 Fill(const google::protobuf::RepeatedField<std::uint64_t>& aFrom,
-     LatencyCounts& aTo)
+     LatencyHistogram& aTo)
 {
   const auto size =
-    std::min(static_cast<std::size_t>(aFrom.size()), kLatencyBuckets);
+    std::min(static_cast<std::size_t>(aFrom.size()), kLatencyBucketCount);
   std::copy_n(aFrom.begin(), size, aTo.begin());
 }
 
 /** Trailing empty buckets are not sent. */
 void
-Fill(const LatencyCounts& aFrom,
+Fill(const LatencyHistogram& aFrom,
      google::protobuf::RepeatedField<std::uint64_t>& aTo)
 {
-  std::size_t used = kLatencyBuckets;
+  std::size_t used = kLatencyBucketCount;
   while (used > 0 && aFrom.at(used - 1) == 0) {
     --used;
   }
@@ -36,7 +36,7 @@
 {
   this->requests += aOther.requests;
   this->errors += aOther.errors;
-  for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
+  for (std::size_t i = 0; i < kLatencyBucketCount; ++i) {
     this->firstToken.at(i) += aOther.firstToken.at(i);
     this->tokenGap.at(i) += aOther.tokenGap.at(i);
   }
@@ -44,7 +44,7 @@
 }
 
 EvidenceTable::EvidenceTable(std::string aSelf)
-  : self(std::move(aSelf))
+  : daemonId(std::move(aSelf))
 {
 }
 
@@ -54,7 +54,8 @@
                        const Stratum& aStratum,
                        const Observation& aObservation)
 {
-  Tally& tally = this->tallies[Key{ aMove, aVersion, aStratum, this->self }];
+  Tally& tally =
+    this->tallies[Key{ aMove, aVersion, aStratum, this->daemonId }];
   ++tally.requests;
   tally.errors += aObservation.error ? 1 : 0;
   if (aObservation.firstTokenMs >= 0) {
@@ -68,7 +69,7 @@
 void
 EvidenceTable::Merge(const peer::Evidence& aEvidence)
 {
-  if (aEvidence.daemon() == this->self) {
+  if (aEvidence.daemon() == this->daemonId) {
     return;
   }
   Tally tally;
@@ -87,17 +88,17 @@
 }
 
 std::vector<peer::Evidence>
-EvidenceTable::Own(Position aMove) const
+EvidenceTable::LocalEvidence(Position aMove) const
 {
   std::vector<peer::Evidence> own;
   for (auto entry = this->tallies.lower_bound(Key{ aMove, {}, {}, {} });
-       entry != this->tallies.end() && entry->first.move == aMove;
+       entry != this->tallies.end() && entry->first.rollout == aMove;
        ++entry) {
-    if (entry->first.daemon != this->self) {
+    if (entry->first.daemon != this->daemonId) {
       continue;
     }
     peer::Evidence evidence;
-    evidence.set_daemon(this->self);
+    evidence.set_daemon(this->daemonId);
     evidence.set_move(aMove.value);
     evidence.set_version(entry->first.version.value);
     evidence.set_route(entry->first.stratum.route);
@@ -116,7 +117,7 @@
 {
   StratumTallies sum;
   for (auto entry = this->tallies.lower_bound(Key{ aMove, aVersion, {}, {} });
-       entry != this->tallies.end() && entry->first.move == aMove &&
+       entry != this->tallies.end() && entry->first.rollout == aMove &&
        entry->first.version == aVersion;
        ++entry) {
     sum[entry->first.stratum] += entry->second;
@@ -125,10 +126,10 @@
 }
 
 void
-EvidenceTable::Forget(Position aMove)
+EvidenceTable::Erase(Position aMove)
 {
   std::erase_if(this->tallies,
-                [&](const auto& aEntry) { return aEntry.first.move == aMove; });
+                [&](const auto& aEntry) { return aEntry.first.rollout == aMove; });
 }
 
 } // namespace toucanshed
--- a/src/coord/Evidence.h
+++ b/src/coord/Evidence.h
@@ -19,8 +19,8 @@
 {
   std::uint64_t requests = 0;
   std::uint64_t errors = 0;
-  LatencyCounts firstToken{};
-  LatencyCounts tokenGap{};
+  LatencyHistogram firstToken{};
+  LatencyHistogram tokenGap{};
 
   Tally& operator+=(const Tally& aOther);
 };
@@ -67,17 +67,17 @@
   void Merge(const peer::Evidence& aEvidence);
 
   /** This daemon's own counts about a move. */
-  [[nodiscard]] std::vector<peer::Evidence> Own(Position aMove) const;
+  [[nodiscard]] std::vector<peer::Evidence> LocalEvidence(Position aMove) const;
   /** All daemons' counts about one version in a move. */
   [[nodiscard]] StratumTallies Sum(Position aMove,
                                    const VersionId& aVersion) const;
   /** Forgets a move that has ended. */
-  void Forget(Position aMove);
+  void Erase(Position aMove);
 
 private:
   struct Key
   {
-    Position move;
+    Position rollout;
     VersionId version;
     Stratum stratum;
     std::string daemon;
@@ -85,7 +85,7 @@
     auto operator<=>(const Key&) const = default;
   };
 
-  std::string self;
+  std::string daemonId;
   std::map<Key, Tally> tallies;
 };
 
--- a/src/coord/FactSet.cpp
+++ b/src/coord/FactSet.cpp
@@ -25,27 +25,27 @@
     found->second.expires = std::max(found->second.expires, aFact.expires);
     return false;
   }
-  if (this->facts.size() >= kMostFacts) {
+  if (this->facts.size() >= kMaxFacts) {
     this->Remove(std::min_element(
       this->facts.begin(), this->facts.end(), [](auto& aLeft, auto& aRight) {
         return aLeft.second.expires < aRight.second.expires;
       }));
   }
-  this->hash ^= Hash64(aFact.key);
-  this->fresh.push_back(aFact.key);
-  this->facts.emplace(std::move(aFact.key), Kept{ aFact.expires });
+  this->keysHash ^= Hash64(aFact.key);
+  this->pendingGossip.push_back(aFact.key);
+  this->facts.emplace(std::move(aFact.key), StoredFact{ aFact.expires });
   return true;
 }
 
 void
-FactSet::Remove(std::map<std::string, Kept, std::less<>>::iterator aFact)
+FactSet::Remove(std::map<std::string, StoredFact, std::less<>>::iterator aFact)
 {
-  this->hash ^= Hash64(aFact->first);
+  this->keysHash ^= Hash64(aFact->first);
   this->facts.erase(aFact);
 }
 
 bool
-FactSet::Holds(std::string_view aKey) const
+FactSet::Contains(std::string_view aKey) const
 {
   return this->facts.find(aKey) != this->facts.end();
 }
@@ -69,20 +69,20 @@
     kSpreadFactor * static_cast<std::uint32_t>(std::bit_width(aMembers + 1));
   std::vector<FactEntry> sent;
   std::vector<std::string> again;
-  for (const std::string& key : this->fresh) {
+  for (const std::string& key : this->pendingGossip) {
     const auto found = this->facts.find(key);
     if (found == this->facts.end()) {
       continue;
     }
-    if (sent.size() < kMostInMessage) {
+    if (sent.size() < kMaxPerMessage) {
       sent.push_back(FactEntry{ key, found->second.expires });
-      ++found->second.sent;
+      ++found->second.sendCount;
     }
-    if (found->second.sent < most) {
+    if (found->second.sendCount < most) {
       again.push_back(key);
     }
   }
-  this->fresh = std::move(again);
+  this->pendingGossip = std::move(again);
   return sent;
 }
 
--- a/src/coord/FactSet.h
+++ b/src/coord/FactSet.h
@@ -33,7 +33,7 @@
 public:
   /** Adds a fact, or extends it. \return whether it is news. */
   bool Add(FactEntry aFact, TimePoint aNow);
-  [[nodiscard]] bool Holds(std::string_view aKey) const;
+  [[nodiscard]] bool Contains(std::string_view aKey) const;
   /** Facts whose keys begin with aPrefix, in key order. */
   [[nodiscard]] std::vector<FactEntry> WithPrefix(
     std::string_view aPrefix) const;
@@ -44,28 +44,28 @@
   /** All facts, for a daemon whose hash differs. */
   [[nodiscard]] std::vector<FactEntry> All() const;
   /** The same for sets with the same keys, whatever their order. */
-  [[nodiscard]] std::uint64_t KeysHash() const { return this->hash; }
+  [[nodiscard]] std::uint64_t KeysHash() const { return this->keysHash; }
 
   void Expire(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const { return this->facts.size(); }
 
   /** Facts kept at the most; at the bound the one that expires first goes. */
-  static constexpr std::size_t kMostFacts = 10000;
+  static constexpr std::size_t kMaxFacts = 10000;
   /** Facts in one message. */
-  static constexpr std::size_t kMostInMessage = 20;
+  static constexpr std::size_t kMaxPerMessage = 20;
 
 private:
-  struct Kept
+  struct StoredFact
   {
     TimePoint expires;
-    std::uint32_t sent = 0;
+    std::uint32_t sendCount = 0;
   };
 
-  void Remove(std::map<std::string, Kept, std::less<>>::iterator aFact);
+  void Remove(std::map<std::string, StoredFact, std::less<>>::iterator aFact);
 
-  std::map<std::string, Kept, std::less<>> facts;
-  std::vector<std::string> fresh;
-  std::uint64_t hash = 0;
+  std::map<std::string, StoredFact, std::less<>> facts;
+  std::vector<std::string> pendingGossip;
+  std::uint64_t keysHash = 0;
 };
 
 } // namespace toucanshed
--- a/src/coord/FairQueue.cpp
+++ b/src/coord/FairQueue.cpp
@@ -10,10 +10,11 @@
   this->weights[aTeam] = std::max(1.0, aWeight);
 }
 
-FairQueue::Lane&
-FairQueue::LaneOf(Urgency aUrgency)
+FairQueue::ClassQueue&
+FairQueue::QueueOf(LatencyClass aUrgency)
 {
-  return aUrgency == Urgency::eQuick ? this->quick : this->reports;
+  return aUrgency == LatencyClass::eInteractive ? this->interactive
+                                                : this->batch;
 }
 
 double
@@ -26,30 +27,30 @@
 bool
 FairQueue::Push(QueueItem aItem)
 {
-  Lane& lane = this->LaneOf(aItem.urgency);
+  ClassQueue& lane = this->QueueOf(aItem.latencyClass);
   auto& list = lane.teams[aItem.team];
-  if (list.size() >= kMostPerTeam) {
+  if (list.size() >= kMaxPerTeam) {
     return false;
   }
-  double& last = lane.lastFinish[aItem.team];
+  double& last = lane.lastVirtualFinish[aItem.team];
   const double start = std::max(lane.virtualTime, last);
   last = start + aItem.cost / this->WeightOf(aItem.team);
-  list.push_back(Waiting{ std::move(aItem), last });
+  list.push_back(QueuedRequest{ std::move(aItem), last });
   ++lane.size;
   ++this->size;
   return true;
 }
 
 std::optional<QueueItem>
-FairQueue::PopLane(Lane& aLane,
+FairQueue::PopFrom(ClassQueue& aLane,
                    const std::function<bool(const QueueItem&)>& aCanStart)
 {
   // A team whose turn it is may have no place to go to now; it must not hold
   // up the teams behind it, who may.
-  std::vector<std::pair<double, std::list<Waiting>*>> turns;
+  std::vector<std::pair<double, std::list<QueuedRequest>*>> turns;
   for (auto& [team, list] : aLane.teams) {
     if (!list.empty()) {
-      turns.emplace_back(list.front().finish, &list);
+      turns.emplace_back(list.front().virtualFinish, &list);
     }
   }
   std::sort(
@@ -63,15 +64,15 @@
   if (turn == turns.end()) {
     return std::nullopt;
   }
-  std::list<Waiting>* best = turn->second;
+  std::list<QueuedRequest>* best = turn->second;
   QueueItem item = std::move(best->front().item);
-  aLane.virtualTime = std::max(aLane.virtualTime, best->front().finish);
+  aLane.virtualTime = std::max(aLane.virtualTime, best->front().virtualFinish);
   best->pop_front();
   --aLane.size;
   --this->size;
   if (aLane.size == 0) {
     // Nobody waits: the past gives no claim on the future.
-    aLane.lastFinish.clear();
+    aLane.lastVirtualFinish.clear();
     aLane.teams.clear();
     aLane.virtualTime = 0;
   }
@@ -79,13 +80,13 @@
 }
 
 bool
-FairQueue::ReportIsDue(TimePoint aNow) const
+FairQueue::BatchIsDue(TimePoint aNow) const
 {
-  if (this->sinceReport + 1 < kReportTurn) {
+  if (this->sinceBatch + 1 < kBatchInterval) {
     return false;
   }
   return std::any_of(
-    this->reports.teams.begin(), this->reports.teams.end(), [&](auto& aTeam) {
+    this->batch.teams.begin(), this->batch.teams.end(), [&](auto& aTeam) {
       if (aTeam.second.empty()) {
         return false;
       }
@@ -98,29 +99,29 @@
 FairQueue::PopIf(TimePoint aNow,
                  const std::function<bool(const QueueItem&)>& aCanStart)
 {
-  const bool due = this->ReportIsDue(aNow);
+  const bool due = this->BatchIsDue(aNow);
   std::optional<QueueItem> item;
   if (due) {
-    item = this->PopLane(this->reports, aCanStart);
+    item = this->PopFrom(this->batch, aCanStart);
   }
   if (!item) {
-    item = this->PopLane(this->quick, aCanStart);
+    item = this->PopFrom(this->interactive, aCanStart);
   }
-  if (!item && !due && this->quick.size == 0) {
-    item = this->PopLane(this->reports, aCanStart);
+  if (!item && !due && this->interactive.size == 0) {
+    item = this->PopFrom(this->batch, aCanStart);
   }
   if (item) {
-    const bool report = item->urgency == Urgency::eReport;
-    this->sinceReport = report ? 0 : this->sinceReport + 1;
+    const bool report = item->latencyClass == LatencyClass::eBatch;
+    this->sinceBatch = report ? 0 : this->sinceBatch + 1;
   }
   return item;
 }
 
 std::vector<QueueItem>
-FairQueue::TakeExpired(TimePoint aNow)
+FairQueue::RemoveExpired(TimePoint aNow)
 {
   std::vector<QueueItem> expired;
-  for (Lane* lane : { &this->quick, &this->reports }) {
+  for (ClassQueue* lane : { &this->interactive, &this->batch }) {
     for (auto& [team, list] : lane->teams) {
       for (auto waiting = list.begin(); waiting != list.end();) {
         if (waiting->item.deadline > aNow) {
@@ -140,10 +141,10 @@
 bool
 FairQueue::Cancel(std::uint64_t aTicket)
 {
-  for (Lane* lane : { &this->quick, &this->reports }) {
+  for (ClassQueue* lane : { &this->interactive, &this->batch }) {
     for (auto& [team, list] : lane->teams) {
-      const auto found =
-        std::find_if(list.begin(), list.end(), [&](const Waiting& aWaiting) {
+      const auto found = std::find_if(
+        list.begin(), list.end(), [&](const QueuedRequest& aWaiting) {
           return aWaiting.item.ticket == aTicket;
         });
       if (found != list.end()) {
@@ -158,9 +159,10 @@
 }
 
 double
-FairQueue::AheadOf(const TeamId& aTeam, Urgency aUrgency) const
+FairQueue::EstimateAhead(const TeamId& aTeam, LatencyClass aUrgency) const
 {
-  const Lane& lane = aUrgency == Urgency::eQuick ? this->quick : this->reports;
+  const ClassQueue& lane =
+    aUrgency == LatencyClass::eInteractive ? this->interactive : this->batch;
   double weights = this->WeightOf(aTeam);
   double own = 0;
   double others = 0;
@@ -178,9 +180,9 @@
   // While its own requests are served the team gets its part of the places.
   const double byShare = (own + 1) * weights / this->WeightOf(aTeam) - 1;
   const double ahead = std::min(byShare, own + others);
-  return aUrgency == Urgency::eQuick
+  return aUrgency == LatencyClass::eInteractive
            ? ahead
-           : ahead + static_cast<double>(this->quick.size);
+           : ahead + static_cast<double>(this->interactive.size);
 }
 
 } // namespace toucanshed
--- a/src/coord/FairQueue.h
+++ b/src/coord/FairQueue.h
@@ -15,10 +15,10 @@
 
 namespace toucanshed {
 
-enum class Urgency
+enum class LatencyClass
 {
-  eQuick,  // a person waits for the first token
-  eReport, // may wait, must be complete
+  eInteractive, // a person waits for the first token
+  eBatch,       // may wait, must be complete
 };
 
 /** One waiting request. */
@@ -26,7 +26,7 @@
 {
   std::uint64_t ticket = 0;
   TeamId team;
-  Urgency urgency = Urgency::eQuick;
+  LatencyClass latencyClass = LatencyClass::eInteractive;
   double cost = 1; // tokens, estimated
   TimePoint arrived;
   TimePoint deadline; // for a place; later it is refused
@@ -53,43 +53,44 @@
     TimePoint aNow,
     const std::function<bool(const QueueItem&)>& aCanStart);
   /** Takes out what can no longer get a place in time. */
-  std::vector<QueueItem> TakeExpired(TimePoint aNow);
+  std::vector<QueueItem> RemoveExpired(TimePoint aNow);
   /** Takes a request out, if it still waits. */
   bool Cancel(std::uint64_t aTicket);
 
   [[nodiscard]] std::size_t Size() const { return this->size; }
   /** Requests that would be served before a new one of this team. */
-  [[nodiscard]] double AheadOf(const TeamId& aTeam, Urgency aUrgency) const;
+  [[nodiscard]] double EstimateAhead(const TeamId& aTeam,
+                                     LatencyClass aUrgency) const;
 
-  static constexpr std::size_t kMostPerTeam = 2000;
-  static constexpr std::uint64_t kReportTurn = 4;
+  static constexpr std::size_t kMaxPerTeam = 2000;
+  static constexpr std::uint64_t kBatchInterval = 4;
 
 private:
-  struct Waiting
+  struct QueuedRequest
   {
     QueueItem item;
-    double finish = 0; // virtual time at which its team would be served
+    double virtualFinish = 0; // virtual time at which its team would be served
   };
-  struct Lane
+  struct ClassQueue
   {
-    std::map<TeamId, std::list<Waiting>> teams;
-    std::map<TeamId, double> lastFinish;
+    std::map<TeamId, std::list<QueuedRequest>> teams;
+    std::map<TeamId, double> lastVirtualFinish;
     double virtualTime = 0;
     std::size_t size = 0;
   };
 
-  Lane& LaneOf(Urgency aUrgency);
+  ClassQueue& QueueOf(LatencyClass aUrgency);
   [[nodiscard]] double WeightOf(const TeamId& aTeam) const;
-  std::optional<QueueItem> PopLane(
-    Lane& aLane,
+  std::optional<QueueItem> PopFrom(
+    ClassQueue& aLane,
     const std::function<bool(const QueueItem&)>& aCanStart);
-  [[nodiscard]] bool ReportIsDue(TimePoint aNow) const;
+  [[nodiscard]] bool BatchIsDue(TimePoint aNow) const;
 
-  Lane quick;
-  Lane reports;
+  ClassQueue interactive;
+  ClassQueue batch;
   std::map<TeamId, double> weights;
   std::size_t size = 0;
-  std::uint64_t sinceReport = 0;
+  std::uint64_t sinceBatch = 0;
 };
 
 } // namespace toucanshed
--- a/src/coord/HandoverTable.cpp
+++ b/src/coord/HandoverTable.cpp
@@ -3,7 +3,7 @@
 namespace toucanshed {
 
 void
-HandoverTable::Add(HandedStream aStream, TimePoint aNow)
+HandoverTable::Add(HandedOverStream aStream, TimePoint aNow)
 {
   const auto found = this->streams.find(aStream.request);
   if (found != this->streams.end()) {
@@ -14,13 +14,13 @@
     }
     return;
   }
-  if (this->streams.size() < kMostStreams) {
+  if (this->streams.size() < kMaxStreams) {
     const RequestId request = aStream.request;
-    this->streams.emplace(request, Kept{ std::move(aStream), aNow });
+    this->streams.emplace(request, Entry{ std::move(aStream), aNow });
   }
 }
 
-const HandedStream*
+const HandedOverStream*
 HandoverTable::Find(const RequestId& aRequest) const
 {
   const auto found = this->streams.find(aRequest);
@@ -31,7 +31,7 @@
 HandoverTable::Expire(TimePoint aNow)
 {
   std::erase_if(this->streams, [&](const auto& aEntry) {
-    return aNow - aEntry.second.since >= kKept;
+    return aNow - aEntry.second.addedAt >= kRetention;
   });
 }
 
--- a/src/coord/HandoverTable.h
+++ b/src/coord/HandoverTable.h
@@ -14,7 +14,7 @@
 namespace toucanshed {
 
 /** The tokens of a stream that its daemon could not finish. */
-struct HandedStream
+struct HandedOverStream
 {
   RequestId request;
   std::vector<std::string> tokens;
@@ -30,23 +30,23 @@
 {
 public:
   /** Keeps the longer of two accounts of the same stream. */
-  void Add(HandedStream aStream, TimePoint aNow);
+  void Add(HandedOverStream aStream, TimePoint aNow);
   /** Null when it is not here. */
-  [[nodiscard]] const HandedStream* Find(const RequestId& aRequest) const;
+  [[nodiscard]] const HandedOverStream* Find(const RequestId& aRequest) const;
   void Expire(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const { return this->streams.size(); }
 
-  static constexpr std::size_t kMostStreams = 5000;
-  static constexpr Millis kKept{ 300000 };
+  static constexpr std::size_t kMaxStreams = 5000;
+  static constexpr Millis kRetention{ 300000 };
 
 private:
-  struct Kept
+  struct Entry
   {
-    HandedStream stream;
-    TimePoint since;
+    HandedOverStream stream;
+    TimePoint addedAt;
   };
 
-  std::map<RequestId, Kept> streams;
+  std::map<RequestId, Entry> streams;
 };
 
 } // namespace toucanshed
--- a/src/coord/KeyTime.cpp
+++ b/src/coord/KeyTime.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::size_t kUuidBytes = 36;
-constexpr std::size_t kVersionAt = 14;
-constexpr std::size_t kMostKeyBytes = 255;
+constexpr std::size_t kUuidLength = 36;
+constexpr std::size_t kUuidVersionIndex = 14;
+constexpr std::size_t kMaxKeyBytes = 255;
 
 std::optional<std::int64_t>
-Parse(std::string_view aText, int aBase)
+ParseInteger(std::string_view aText, int aBase)
 {
   std::int64_t number = 0;
   const char* end = aText.data() + aText.size();
@@ -29,16 +29,16 @@
 Result<TimePoint>
 ParseKeyTime(std::string_view aKey)
 {
-  if (aKey.size() == kUuidBytes && aKey[kVersionAt] == '7') {
+  if (aKey.size() == kUuidLength && aKey[kUuidVersionIndex] == '7') {
     const std::string digits =
       std::string(aKey.substr(0, 8)) + std::string(aKey.substr(9, 4));
-    if (const auto ms = Parse(digits, 16)) {
+    if (const auto ms = ParseInteger(digits, 16)) {
       return TimePoint{ *ms };
     }
   }
   const auto dash = aKey.find('-');
-  if (dash != std::string_view::npos && aKey.size() <= kMostKeyBytes) {
-    const auto seconds = Parse(aKey.substr(0, dash), 10);
+  if (dash != std::string_view::npos && aKey.size() <= kMaxKeyBytes) {
+    const auto seconds = ParseInteger(aKey.substr(0, dash), 10);
     constexpr std::int64_t kMostSeconds = 1LL << 40;
     if (seconds && *seconds >= 0 && *seconds < kMostSeconds) {
       return TimePoint{ *seconds * 1000 };
--- a/src/coord/LatencyBuckets.cpp
+++ b/src/coord/LatencyBuckets.cpp
@@ -13,9 +13,10 @@
                                   boost::histogram::axis::transform::log>;
 
 const Axis&
-Buckets()
+BucketAxis()
 {
-  static const Axis sAxis(static_cast<unsigned>(kLatencyBuckets), 0.5, 60000.0);
+  static const Axis sAxis(
+    static_cast<unsigned>(kLatencyBucketCount), 0.5, 60000.0);
   return sAxis;
 }
 
@@ -24,38 +25,38 @@
 std::size_t
 BucketOf(double aMilliseconds)
 {
-  const int index = Buckets().index(aMilliseconds);
-  const int last = static_cast<int>(kLatencyBuckets) - 1;
+  const int index = BucketAxis().index(aMilliseconds);
+  const int last = static_cast<int>(kLatencyBucketCount) - 1;
   return static_cast<std::size_t>(std::clamp(index, 0, last));
 }
 
 double
-UpperEdge(std::size_t aBucket)
+BucketUpperEdge(std::size_t aBucket)
 {
-  return Buckets().value(static_cast<double>(aBucket + 1));
+  return BucketAxis().value(static_cast<double>(aBucket + 1));
 }
 
 std::uint64_t
-CountAbove(const LatencyCounts& aCounts, std::size_t aBucket)
+CountAbove(const LatencyHistogram& aCounts, std::size_t aBucket)
 {
   const auto from = aCounts.begin() + static_cast<std::ptrdiff_t>(aBucket) + 1;
   return std::accumulate(from, aCounts.end(), std::uint64_t{ 0 });
 }
 
 std::size_t
-QuantileBucket(const LatencyCounts& aCounts, double aShare)
+QuantileBucket(const LatencyHistogram& aCounts, double aShare)
 {
   const auto all =
     std::accumulate(aCounts.begin(), aCounts.end(), std::uint64_t{ 0 });
   const double wanted = static_cast<double>(all) * aShare;
   std::uint64_t seen = 0;
-  for (std::size_t i = 0; i < kLatencyBuckets; ++i) {
+  for (std::size_t i = 0; i < kLatencyBucketCount; ++i) {
     seen += aCounts.at(i);
     if (seen > 0 && static_cast<double>(seen) >= wanted) {
       return i;
     }
   }
-  return kLatencyBuckets - 1;
+  return kLatencyBucketCount - 1;
 }
 
 } // namespace toucanshed
--- a/src/coord/LatencyBuckets.h
+++ b/src/coord/LatencyBuckets.h
@@ -12,9 +12,9 @@
 
 namespace toucanshed {
 
-constexpr std::size_t kLatencyBuckets = 40;
+constexpr std::size_t kLatencyBucketCount = 40;
 
-using LatencyCounts = std::array<std::uint64_t, kLatencyBuckets>;
+using LatencyHistogram = std::array<std::uint64_t, kLatencyBucketCount>;
 
 /** Bucket of a latency; from 0.5 ms to 60 s in equal ratios of about 1.34. */
 std::size_t
@@ -22,15 +22,15 @@
 
 /** Upper edge of a bucket in milliseconds. */
 double
-UpperEdge(std::size_t aBucket);
+BucketUpperEdge(std::size_t aBucket);
 
 /** Observations in buckets above aBucket. */
 std::uint64_t
-CountAbove(const LatencyCounts& aCounts, std::size_t aBucket);
+CountAbove(const LatencyHistogram& aCounts, std::size_t aBucket);
 
 /** The bucket in which the given share (0..1) of the observations is reached;
  * the last one when there are none. */
 std::size_t
-QuantileBucket(const LatencyCounts& aCounts, double aShare);
+QuantileBucket(const LatencyHistogram& aCounts, double aShare);
 
 } // namespace toucanshed
--- /dev/null
+++ b/src/coord/LeavingIncarnations.cpp
@@ -0,0 +1,18 @@
+#include "LeavingIncarnations.h"
+
+namespace toucanshed {
+
+bool
+LeavingIncarnations::IsLeaving(const InstanceId& aId,
+                               const std::string& aLife,
+                               bool aListed)
+{
+  if (!aListed) {
+    this->incarnations.erase(aId);
+    return false;
+  }
+  const auto [entry, first] = this->incarnations.try_emplace(aId, aLife);
+  return entry->second == aLife;
+}
+
+} // namespace toucanshed
--- a/src/coord/ListedLeaving.h
+++ b/src/coord/LeavingIncarnations.h
@@ -19,16 +19,16 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class ListedLeaving
+class LeavingIncarnations
 {
 public:
   /** \param aListed whether the list calls the instance leaving now.
    *  \param aLife the life that answers there now.
    *  \return whether this very life is leaving by the list. */
-  bool Means(const InstanceId& aId, const std::string& aLife, bool aListed);
+  bool IsLeaving(const InstanceId& aId, const std::string& aLife, bool aListed);
 
 private:
-  std::map<InstanceId, std::string> lives;
+  std::map<InstanceId, std::string> incarnations;
 };
 
 } // namespace toucanshed
--- a/src/coord/LimitSharers.h
+++ b/src/coord/LimitShares.h
@@ -22,58 +22,62 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class LimitSharers
+class LimitShares
 {
 public:
   /** So many times the silence after which a daemon is not heard pass before
    * its part goes to others. It has ceased to use it after one. */
-  static constexpr int kSilencesKept = 3;
+  static constexpr int kTimeoutsBeforeReassignment = 3;
   /** A daemon that has been silent for so long does not count as one that might
    * be heard any more. */
-  static constexpr Millis kForgotten{ 60000 };
+  static constexpr Millis kPeerRetention{ 60000 };
 
-  LimitSharers(DaemonId aSelf, TimePoint aStarted);
+  LimitShares(DaemonId aSelf, TimePoint aStarted);
 
   /** The store lists the daemon. */
-  void Learn(const DaemonId& aId, TimePoint aNow);
+  void AddPeer(const DaemonId& aId, TimePoint aNow);
   /** The store's list was read; before that it is not known who shares. */
-  void Listed() { this->listed = true; }
-  void Hear(const DaemonId& aId, TimePoint aNow);
+  void MarkListRead() { this->listRead = true; }
+  void RecordHeartbeat(const DaemonId& aId, TimePoint aNow);
   void Expire(TimePoint aNow);
   /** Sets after how long without a word a daemon is not heard any more. */
-  void SetSilence(Millis aSilence) { this->silence = aSilence; }
+  void SetPeerTimeout(Millis aSilence) { this->peerTimeout = aSilence; }
 
   /** Whether this daemon may use its parts. */
-  [[nodiscard]] bool MayUse(TimePoint aNow) const;
+  [[nodiscard]] bool CanUseShares(TimePoint aNow) const;
   /** All daemons known, this one with them: those that are not heard too, as
    * they may be up. */
-  [[nodiscard]] std::size_t Known() const { return this->peers.size() + 1; }
+  [[nodiscard]] std::size_t KnownDaemons() const
+  {
+    return this->peers.size() + 1;
+  }
   /** Daemons that share now, this one with them. */
-  [[nodiscard]] std::size_t Count(TimePoint aNow) const;
+  [[nodiscard]] std::size_t SharingDaemons(TimePoint aNow) const;
   /** Whether this daemon is one of the aParts that share what aKey names, by
    * rendezvous hashing. */
-  [[nodiscard]] bool HasPart(std::uint64_t aKey,
-                             std::size_t aParts,
-                             TimePoint aNow) const;
+  [[nodiscard]] bool HasShare(std::uint64_t aKey,
+                              std::size_t aParts,
+                              TimePoint aNow) const;
 
 private:
   struct Peer
   {
     std::uint64_t hash = 0;
-    TimePoint since; // known or last heard
-    bool heard = false;
+    TimePoint lastSeenAt; // known or last heard
+    bool hasHeartbeat = false;
   };
 
-  [[nodiscard]] bool Shares(const Peer& aPeer, TimePoint aNow) const
+  [[nodiscard]] bool IsSharing(const Peer& aPeer, TimePoint aNow) const
   {
-    return aNow - aPeer.since <= kSilencesKept * this->silence;
+    return aNow - aPeer.lastSeenAt <=
+           kTimeoutsBeforeReassignment * this->peerTimeout;
   }
 
   DaemonId self;
   std::uint64_t ownHash;
   TimePoint started;
-  Millis silence{ 1500 };
-  bool listed = false;
+  Millis peerTimeout{ 1500 };
+  bool listRead = false;
   std::map<DaemonId, Peer> peers;
 };
 
