--- a/src/coord/ListCopy.h
+++ b/src/coord/ListRevisions.h
@@ -21,7 +21,7 @@
   std::string key;
   std::optional<std::string> value; // nothing: the entry is gone
   Position position;
-  TimePoint seen;
+  TimePoint readAt;
   bool leaving = false; // nothing else of the entry matters any more
 };
 
@@ -32,54 +32,54 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class ListCopy
+class ListRevisions
 {
 public:
   /** How long a change is told again, so that a lost datagram is made good by
    * the next ones. */
-  static constexpr Millis kTold{ 1800 };
+  static constexpr Millis kReportWindow{ 1800 };
   /** Changes in one word; with more, who lacks them reads the list. */
-  static constexpr std::size_t kMostTold = 60;
+  static constexpr std::size_t kMaxReported = 60;
   /** Keys remembered; some thousand engines and as many that have gone. At the
    * bound all are forgotten but where the newest one stood. */
-  static constexpr std::size_t kMostKeys = 20000;
+  static constexpr std::size_t kMaxKeys = 20000;
 
   /** \return whether a record is newer than what is here; then it counts as
    * applied. */
-  bool Advance(const std::string& aKey, Position aPosition)
+  bool TryAdvance(const std::string& aKey, Position aPosition)
   {
-    Position& known = this->newest[aKey];
-    const bool news = aPosition >= this->floor && known <= aPosition;
+    Position& known = this->latestPositions[aKey];
+    const bool news = aPosition >= this->minPosition && known <= aPosition;
     if (news) {
       known = aPosition;
     }
-    if (this->newest.size() > kMostKeys) {
-      this->Replaced(this->Highest());
+    if (this->latestPositions.size() > kMaxKeys) {
+      this->RecordFullRead(this->HighestPosition());
     }
     return news;
   }
   /** The whole list was read; it holds all records before aEnd. A word may
    * have told newer ones while it was on its way; these stay known. */
-  void Replaced(Position aEnd)
+  void RecordFullRead(Position aEnd)
   {
-    this->floor = std::max(this->floor, aEnd);
-    std::erase_if(this->newest, [this](const auto& aPair) {
-      return aPair.second < this->floor;
+    this->minPosition = std::max(this->minPosition, aEnd);
+    std::erase_if(this->latestPositions, [this](const auto& aPair) {
+      return aPair.second < this->minPosition;
     });
   }
 
   /** A change that this daemon has read in the store. */
-  void NoteChange(ListChange aChange)
+  void AddChange(ListChange aChange)
   {
     this->changes.push_back(std::move(aChange));
   }
   /** Changes to be told, the newest ones if there are too many. */
-  [[nodiscard]] const std::deque<ListChange>& ToTell(TimePoint aNow)
+  [[nodiscard]] const std::deque<ListChange>& ChangesToReport(TimePoint aNow)
   {
     const auto over = [&] {
-      return this->changes.size() > kMostTold ||
+      return this->changes.size() > kMaxReported ||
              (!this->changes.empty() &&
-              aNow - this->changes.front().seen > kTold);
+              aNow - this->changes.front().readAt > kReportWindow);
     };
     while (over()) {
       this->changes.pop_front();
@@ -89,17 +89,17 @@
 
 private:
   /** The newest record that was applied. */
-  [[nodiscard]] Position Highest() const
+  [[nodiscard]] Position HighestPosition() const
   {
     Position highest;
-    for (const auto& [key, position] : this->newest) {
+    for (const auto& [key, position] : this->latestPositions) {
       highest = std::max(highest, position);
     }
     return highest;
   }
 
-  std::map<std::string, Position> newest;
-  Position floor;
+  std::map<std::string, Position> latestPositions;
+  Position minPosition;
   std::deque<ListChange> changes;
 };
 
--- a/src/coord/Membership.cpp
+++ b/src/coord/Membership.cpp
@@ -48,49 +48,49 @@
 }
 
 void
-Membership::SetContacts(std::vector<std::string> aAddresses)
+Membership::SetSeedAddresses(std::vector<std::string> aAddresses)
 {
   std::erase(aAddresses, this->self.address());
-  this->contacts = std::move(aAddresses);
+  this->seedAddresses = std::move(aAddresses);
 }
 
 void
 Membership::Leave()
 {
   this->self.set_status(peer::LEAVING);
-  this->Spread(this->self.id());
+  this->QueueUpdate(this->self.id());
 }
 
 void
-Membership::Spread(const std::string& aId)
+Membership::QueueUpdate(const std::string& aId)
 {
-  this->updates[aId] = 0;
+  this->pendingUpdates[aId] = 0;
 }
 
 peer::Envelope
-Membership::Make(peer::Envelope::Kind aKind, std::uint64_t aSequence)
+Membership::MakeEnvelope(peer::Envelope::Kind aKind, std::uint64_t aSequence)
 {
   peer::Envelope envelope;
   envelope.set_kind(aKind);
   envelope.set_sequence(aSequence);
   *envelope.mutable_from() = this->self;
   envelope.set_members_hash(this->ViewHash());
-  this->AddUpdates(envelope);
+  this->AttachUpdates(envelope);
   return envelope;
 }
 
 void
-Membership::AddUpdates(peer::Envelope& aEnvelope)
+Membership::AttachUpdates(peer::Envelope& aEnvelope)
 {
   const auto most = kSpreadFactor * static_cast<std::uint32_t>(
                                       std::bit_width(this->members.size() + 1));
   // The least sent first, so that old news does not hold up new.
   std::vector<std::pair<std::uint32_t, std::string_view>> queue;
-  queue.reserve(this->updates.size());
-  for (const auto& [id, sent] : this->updates) {
+  queue.reserve(this->pendingUpdates.size());
+  for (const auto& [id, sent] : this->pendingUpdates) {
     queue.emplace_back(sent, id);
   }
-  const std::size_t count = std::min(queue.size(), kMostInMessage);
+  const std::size_t count = std::min(queue.size(), kMaxUpdatesPerMessage);
   std::partial_sort(queue.begin(),
                     queue.begin() + static_cast<std::ptrdiff_t>(count),
                     queue.end());
@@ -99,15 +99,15 @@
     const std::string id(queue[i].second);
     const auto found = this->members.find(id);
     if (id != this->self.id() && found == this->members.end()) {
-      this->updates.erase(id);
+      this->pendingUpdates.erase(id);
       continue;
     }
     *aEnvelope.add_members() =
       id == this->self.id() ? this->self : found->second.member;
     if (sent + 1 >= most) {
-      this->updates.erase(id);
+      this->pendingUpdates.erase(id);
     } else {
-      this->updates[id] = sent + 1;
+      this->pendingUpdates[id] = sent + 1;
     }
   }
 }
@@ -119,7 +119,7 @@
     aClaim.status() == peer::SUSPECT || aClaim.status() == peer::DEAD;
   if (wrong && aClaim.incarnation() >= this->self.incarnation()) {
     this->self.set_incarnation(aClaim.incarnation() + 1);
-    this->Spread(this->self.id());
+    this->QueueUpdate(this->self.id());
   }
 }
 
@@ -134,7 +134,7 @@
   if (found == this->members.end()) {
     if (aMember.status() != peer::DEAD) {
       this->members[aMember.id()] = MemberView{ aMember, aNow };
-      this->Spread(aMember.id());
+      this->QueueUpdate(aMember.id());
     }
     return;
   }
@@ -145,11 +145,11 @@
     found->second.since = aNow;
   }
   found->second.member = aMember;
-  this->Spread(aMember.id());
+  this->QueueUpdate(aMember.id());
 }
 
 void
-Membership::Suspect(const std::string& aId, TimePoint aNow)
+Membership::MarkSuspect(const std::string& aId, TimePoint aNow)
 {
   const auto found = this->members.find(aId);
   const bool doubtful = found != this->members.end() &&
@@ -162,11 +162,11 @@
   const bool left = found->second.member.status() == peer::LEAVING;
   found->second.member.set_status(left ? peer::DEAD : peer::SUSPECT);
   found->second.since = aNow;
-  this->Spread(aId);
+  this->QueueUpdate(aId);
 }
 
 std::vector<std::string>
-Membership::RandomOthers(std::size_t aCount, const std::string& aExcept)
+Membership::RandomAliveIds(std::size_t aCount, const std::string& aExcept)
 {
   std::vector<std::string> alive;
   for (const auto& [id, view] : this->members) {
@@ -175,7 +175,7 @@
     }
   }
   for (std::size_t i = 0; i < alive.size() && i < aCount; ++i) {
-    std::swap(alive[i], alive[i + this->random.Below(alive.size() - i)]);
+    std::swap(alive[i], alive[i + this->random.NextBelow(alive.size() - i)]);
   }
   alive.resize(std::min(alive.size(), aCount));
   return alive;
@@ -187,15 +187,16 @@
   for (auto probe = this->probes.begin(); probe != this->probes.end();) {
     const auto waited = aNow - probe->second.sent;
     if (waited >= this->timing.suspectAfter) {
-      this->Suspect(probe->second.target, aNow);
+      this->MarkSuspect(probe->second.target, aNow);
       probe = this->probes.erase(probe);
       continue;
     }
-    if (waited >= this->timing.probeTimeout && !probe->second.asked) {
-      probe->second.asked = true;
+    if (waited >= this->timing.probeTimeout && !probe->second.relayRequested) {
+      probe->second.relayRequested = true;
       for (const auto& id :
-           this->RandomOthers(kIndirectProbes, probe->second.target)) {
-        auto envelope = this->Make(peer::Envelope::PROBE_REQUEST, probe->first);
+           this->RandomAliveIds(kIndirectProbes, probe->second.target)) {
+        auto envelope =
+          this->MakeEnvelope(peer::Envelope::PROBE_REQUEST, probe->first);
         envelope.set_target(probe->second.target);
         aOut.push_back(
           { this->members.at(id).member.address(), std::move(envelope) });
@@ -206,7 +207,7 @@
 }
 
 void
-Membership::CheckSilent(TimePoint aNow)
+Membership::ExpireMembers(TimePoint aNow)
 {
   for (auto member = this->members.begin(); member != this->members.end();) {
     MemberView& view = member->second;
@@ -215,13 +216,13 @@
         age >= this->timing.deadAfter) {
       view.member.set_status(peer::DEAD);
       view.since = aNow;
-      this->Spread(member->first);
+      this->QueueUpdate(member->first);
     }
     const bool forget = view.member.status() == peer::DEAD &&
                         aNow - view.since >= this->timing.forgetAfter;
     member = forget ? this->members.erase(member) : std::next(member);
   }
-  std::erase_if(this->relays, [&](const auto& aRelay) {
+  std::erase_if(this->relayedProbes, [&](const auto& aRelay) {
     return aNow - aRelay.second.since >= this->timing.deadAfter;
   });
 }
@@ -230,28 +231,29 @@
 Membership::ProbeNext(TimePoint aNow, std::vector<OutgoingEnvelope>& aOut)
 {
   while (true) {
-    if (this->order.empty()) {
+    if (this->probeOrder.empty()) {
       for (const auto& [id, view] : this->members) {
         if (view.member.status() != peer::DEAD) {
-          this->order.push_back(id);
+          this->probeOrder.push_back(id);
         }
       }
-      for (std::size_t i = this->order.size(); i > 1; --i) {
-        std::swap(this->order[i - 1], this->order[this->random.Below(i)]);
+      for (std::size_t i = this->probeOrder.size(); i > 1; --i) {
+        std::swap(this->probeOrder[i - 1],
+                  this->probeOrder[this->random.NextBelow(i)]);
       }
-      if (this->order.empty()) {
+      if (this->probeOrder.empty()) {
         return;
       }
     }
-    const std::string target = this->order.back();
-    this->order.pop_back();
+    const std::string target = this->probeOrder.back();
+    this->probeOrder.pop_back();
     const auto found = this->members.find(target);
     if (found == this->members.end()) {
       continue;
     }
     const std::uint64_t sequence = ++this->lastSequence;
     this->probes[sequence] = Probe{ target, aNow };
-    auto envelope = this->Make(peer::Envelope::PROBE, sequence);
+    auto envelope = this->MakeEnvelope(peer::Envelope::PROBE, sequence);
     if (found->second.member.status() == peer::SUSPECT) {
       *envelope.add_members() = found->second.member;
     }
@@ -261,20 +263,21 @@
 }
 
 void
-Membership::ProbeContact(std::vector<OutgoingEnvelope>& aOut)
+Membership::ProbeSeed(std::vector<OutgoingEnvelope>& aOut)
 {
   // One contact a tick, among those that no live member has: this is how a
   // cluster forms and how two halves find each other after a cut.
-  for (std::size_t tries = 0; tries < this->contacts.size(); ++tries) {
+  for (std::size_t tries = 0; tries < this->seedAddresses.size(); ++tries) {
     const std::string& address =
-      this->contacts[this->nextContact++ % this->contacts.size()];
+      this->seedAddresses[this->nextSeed++ % this->seedAddresses.size()];
     const bool live = std::any_of(
       this->members.begin(), this->members.end(), [&](const auto& aMember) {
         return aMember.second.member.address() == address &&
                aMember.second.member.status() != peer::DEAD;
       });
     if (!live) {
-      auto envelope = this->Make(peer::Envelope::PROBE, ++this->lastSequence);
+      auto envelope =
+        this->MakeEnvelope(peer::Envelope::PROBE, ++this->lastSequence);
       for (const auto& [id, view] : this->members) {
         if (view.member.address() == address) {
           *envelope.add_members() = view.member;
@@ -291,17 +294,17 @@
 {
   std::vector<OutgoingEnvelope> out;
   this->CheckProbes(aNow, out);
-  this->CheckSilent(aNow);
+  this->ExpireMembers(aNow);
   this->ProbeNext(aNow, out);
-  this->ProbeContact(out);
+  this->ProbeSeed(out);
   return out;
 }
 
 void
-Membership::Answer(const peer::Envelope& aProbe,
-                   std::vector<OutgoingEnvelope>& aOut)
+Membership::ReplyToProbe(const peer::Envelope& aProbe,
+                         std::vector<OutgoingEnvelope>& aOut)
 {
-  auto ack = this->Make(peer::Envelope::ACK, aProbe.sequence());
+  auto ack = this->MakeEnvelope(peer::Envelope::ACK, aProbe.sequence());
   const auto known = this->members.find(aProbe.from().id());
   const bool thoughtGone = known != this->members.end() &&
                            (known->second.member.status() == peer::SUSPECT ||
@@ -314,35 +317,35 @@
 }
 
 void
-Membership::PassOn(const peer::Envelope& aRequest,
-                   TimePoint aNow,
-                   std::vector<OutgoingEnvelope>& aOut)
+Membership::RelayProbe(const peer::Envelope& aRequest,
+                       TimePoint aNow,
+                       std::vector<OutgoingEnvelope>& aOut)
 {
   const auto target = this->members.find(aRequest.target());
   if (target == this->members.end()) {
     return;
   }
   const std::uint64_t sequence = ++this->lastSequence;
-  this->relays[sequence] =
-    Relay{ aRequest.from().address(), aRequest.sequence(), aNow };
+  this->relayedProbes[sequence] =
+    RelayedProbe{ aRequest.from().address(), aRequest.sequence(), aNow };
   aOut.push_back({ target->second.member.address(),
-                   this->Make(peer::Envelope::PROBE, sequence) });
+                   this->MakeEnvelope(peer::Envelope::PROBE, sequence) });
 }
 
 void
-Membership::TakeAck(const peer::Envelope& aAck,
-                    std::vector<OutgoingEnvelope>& aOut)
+Membership::HandleAck(const peer::Envelope& aAck,
+                      std::vector<OutgoingEnvelope>& aOut)
 {
   this->probes.erase(aAck.sequence());
-  const auto relay = this->relays.find(aAck.sequence());
-  if (relay == this->relays.end()) {
+  const auto relay = this->relayedProbes.find(aAck.sequence());
+  if (relay == this->relayedProbes.end()) {
     return;
   }
-  auto passed = this->Make(peer::Envelope::ACK, relay->second.sequence);
+  auto passed = this->MakeEnvelope(peer::Envelope::ACK, relay->second.sequence);
   passed.set_target(aAck.from().id());
   *passed.add_members() = aAck.from();
   aOut.push_back({ relay->second.address, std::move(passed) });
-  this->relays.erase(relay);
+  this->relayedProbes.erase(relay);
 }
 
 std::uint64_t
@@ -358,7 +361,7 @@
 }
 
 void
-Membership::AddAll(peer::Envelope& aEnvelope) const
+Membership::AttachAllMembers(peer::Envelope& aEnvelope) const
 {
   aEnvelope.clear_members();
   for (const auto& [id, view] : this->members) {
@@ -371,13 +374,13 @@
                             TimePoint aNow,
                             std::vector<OutgoingEnvelope>& aOut)
 {
-  const bool due = aNow - this->lastSync >= this->timing.syncEvery;
+  const bool due = aNow - this->lastSync >= this->timing.syncInterval;
   if (!due || aAck.members_hash() == this->ViewHash()) {
     return;
   }
   this->lastSync = aNow;
-  auto envelope = this->Make(peer::Envelope::SYNC, 0);
-  this->AddAll(envelope);
+  auto envelope = this->MakeEnvelope(peer::Envelope::SYNC, 0);
+  this->AttachAllMembers(envelope);
   aOut.push_back({ aAck.from().address(), std::move(envelope) });
 }
 
@@ -391,20 +394,20 @@
   }
   switch (aEnvelope.kind()) {
     case peer::Envelope::PROBE:
-      this->Answer(aEnvelope, out);
+      this->ReplyToProbe(aEnvelope, out);
       break;
     case peer::Envelope::ACK:
-      this->TakeAck(aEnvelope, out);
+      this->HandleAck(aEnvelope, out);
       this->SyncIfDifferent(aEnvelope, aNow, out);
       break;
     case peer::Envelope::SYNC: {
-      auto reply = this->Make(peer::Envelope::SYNC_REPLY, 0);
-      this->AddAll(reply);
+      auto reply = this->MakeEnvelope(peer::Envelope::SYNC_REPLY, 0);
+      this->AttachAllMembers(reply);
       out.push_back({ aEnvelope.from().address(), std::move(reply) });
       break;
     }
     case peer::Envelope::PROBE_REQUEST:
-      this->PassOn(aEnvelope, aNow, out);
+      this->RelayProbe(aEnvelope, aNow, out);
       break;
     default:
       break;
@@ -413,17 +416,17 @@
 }
 
 std::vector<std::string>
-Membership::RandomAddresses(std::size_t aCount)
+Membership::RandomAliveAddresses(std::size_t aCount)
 {
   std::vector<std::string> addresses;
-  for (const std::string& id : this->RandomOthers(aCount, {})) {
+  for (const std::string& id : this->RandomAliveIds(aCount, {})) {
     addresses.push_back(this->members.at(id).member.address());
   }
   return addresses;
 }
 
 std::vector<std::string>
-Membership::Alive() const
+Membership::LiveMembers() const
 {
   std::vector<std::string> alive{ this->self.id() };
   for (const auto& [id, view] : this->members) {
@@ -436,7 +439,7 @@
 }
 
 std::vector<std::string>
-Membership::Owners() const
+Membership::EligibleOwners() const
 {
   std::vector<std::string> owners;
   if (this->self.status() == peer::ALIVE) {
--- a/src/coord/Membership.h
+++ b/src/coord/Membership.h
@@ -22,7 +22,7 @@
   Millis suspectAfter{ 900 };   // then it is suspected
   Millis deadAfter{ 3000 };     // suspected this long, it is dead
   Millis forgetAfter{ 120000 }; // dead this long, it is forgotten
-  Millis syncEvery{ 5000 };     // whole views are exchanged no more often
+  Millis syncInterval{ 5000 };  // whole views are exchanged no more often
 };
 
 /** A message to be sent to a peer port. */
@@ -63,7 +63,7 @@
   /** Peer ports that the platform's list names now. The list lags, so this
    * only makes the daemon try there; ports it no longer names are not tried
    * any more, or the daemons replaced over weeks would crowd out new ones. */
-  void SetContacts(std::vector<std::string> aAddresses);
+  void SetSeedAddresses(std::vector<std::string> aAddresses);
   /** Call at a steady period. \return messages to send. */
   std::vector<OutgoingEnvelope> Tick(TimePoint aNow);
   /** Takes a message in. \return messages to send. */
@@ -73,11 +73,11 @@
   void Leave();
 
   /** Peer ports of some daemons that are alive, at random. */
-  std::vector<std::string> RandomAddresses(std::size_t aCount);
+  std::vector<std::string> RandomAliveAddresses(std::size_t aCount);
   /** Ids of daemons that are alive or merely suspected, with this one. */
-  [[nodiscard]] std::vector<std::string> Alive() const;
+  [[nodiscard]] std::vector<std::string> LiveMembers() const;
   /** Ids of daemons that may own work: those alive that are not leaving. */
-  [[nodiscard]] std::vector<std::string> Owners() const;
+  [[nodiscard]] std::vector<std::string> EligibleOwners() const;
   [[nodiscard]] const std::map<std::string, MemberView>& Others() const
   {
     return this->members;
@@ -85,7 +85,7 @@
   [[nodiscard]] const peer::Member& Self() const { return this->self; }
 
   /** Updates about members in one message. */
-  static constexpr std::size_t kMostInMessage = 8;
+  static constexpr std::size_t kMaxUpdatesPerMessage = 8;
   static constexpr std::size_t kIndirectProbes = 2;
 
 private:
@@ -93,35 +93,37 @@
   {
     std::string target;
     TimePoint sent;
-    bool asked = false;
+    bool relayRequested = false;
   };
-  struct Relay
+  struct RelayedProbe
   {
     std::string address;
     std::uint64_t sequence = 0;
     TimePoint since;
   };
 
-  peer::Envelope Make(peer::Envelope::Kind aKind, std::uint64_t aSequence);
+  peer::Envelope MakeEnvelope(peer::Envelope::Kind aKind,
+                              std::uint64_t aSequence);
   void Merge(const peer::Member& aMember, TimePoint aNow);
   void Refute(const peer::Member& aClaim);
-  void Spread(const std::string& aId);
-  void AddUpdates(peer::Envelope& aEnvelope);
+  void QueueUpdate(const std::string& aId);
+  void AttachUpdates(peer::Envelope& aEnvelope);
   void CheckProbes(TimePoint aNow, std::vector<OutgoingEnvelope>& aOut);
-  void CheckSilent(TimePoint aNow);
+  void ExpireMembers(TimePoint aNow);
   void ProbeNext(TimePoint aNow, std::vector<OutgoingEnvelope>& aOut);
-  void ProbeContact(std::vector<OutgoingEnvelope>& aOut);
-  void Suspect(const std::string& aId, TimePoint aNow);
-  std::vector<std::string> RandomOthers(std::size_t aCount,
-                                        const std::string& aExcept);
-  void Answer(const peer::Envelope& aProbe,
-              std::vector<OutgoingEnvelope>& aOut);
-  void PassOn(const peer::Envelope& aRequest,
-              TimePoint aNow,
-              std::vector<OutgoingEnvelope>& aOut);
-  void TakeAck(const peer::Envelope& aAck, std::vector<OutgoingEnvelope>& aOut);
+  void ProbeSeed(std::vector<OutgoingEnvelope>& aOut);
+  void MarkSuspect(const std::string& aId, TimePoint aNow);
+  std::vector<std::string> RandomAliveIds(std::size_t aCount,
+                                          const std::string& aExcept);
+  void ReplyToProbe(const peer::Envelope& aProbe,
+                    std::vector<OutgoingEnvelope>& aOut);
+  void RelayProbe(const peer::Envelope& aRequest,
+                  TimePoint aNow,
+                  std::vector<OutgoingEnvelope>& aOut);
+  void HandleAck(const peer::Envelope& aAck,
+                 std::vector<OutgoingEnvelope>& aOut);
   [[nodiscard]] std::uint64_t ViewHash() const;
-  void AddAll(peer::Envelope& aEnvelope) const;
+  void AttachAllMembers(peer::Envelope& aEnvelope) const;
   void SyncIfDifferent(const peer::Envelope& aAck,
                        TimePoint aNow,
                        std::vector<OutgoingEnvelope>& aOut);
@@ -130,13 +132,13 @@
   MembershipTiming timing;
   Random random;
   std::map<std::string, MemberView> members;
-  std::map<std::string, std::uint32_t> updates; // id -> times sent
-  std::vector<std::string> contacts;
-  std::vector<std::string> order; // probing order of this round
+  std::map<std::string, std::uint32_t> pendingUpdates; // id -> times sent
+  std::vector<std::string> seedAddresses;
+  std::vector<std::string> probeOrder; // probing order of this round
   std::map<std::uint64_t, Probe> probes;
-  std::map<std::uint64_t, Relay> relays;
+  std::map<std::uint64_t, RelayedProbe> relayedProbes;
   std::uint64_t lastSequence = 0;
-  std::size_t nextContact = 0;
+  std::size_t nextSeed = 0;
   TimePoint lastSync;
 };
 
--- a/src/coord/PeerTable.cpp
+++ b/src/coord/PeerTable.cpp
@@ -6,7 +6,7 @@
 namespace toucanshed {
 
 void
-PeerTable::Learn(const DaemonId& aId, const std::string& aAddress)
+PeerTable::AddPeer(const DaemonId& aId, const std::string& aAddress)
 {
   if (aId != this->self && !aAddress.empty()) {
     this->peers[aId].address = aAddress;
@@ -14,65 +14,67 @@
 }
 
 bool
-PeerTable::Hear(const serving::DaemonWord& aWord, TimePoint aNow)
+PeerTable::ReceiveHeartbeat(const serving::DaemonHeartbeat& aWord,
+                            TimePoint aNow)
 {
   const DaemonId id{ aWord.id() };
   if (id == this->self || id.Empty()) {
     return false;
   }
   Peer& peer = this->peers[id];
-  const bool older = peer.spoke && (aWord.life() < peer.word.life() ||
-                                    (aWord.life() == peer.word.life() &&
-                                     aWord.sequence() <= peer.word.sequence()));
+  const bool older =
+    peer.hasHeartbeat && (aWord.life() < peer.heartbeat.life() ||
+                          (aWord.life() == peer.heartbeat.life() &&
+                           aWord.sequence() <= peer.heartbeat.sequence()));
   if (older) {
     return false;
   }
-  if (peer.counted) {
-    this->CountLoad(peer, -1);
+  if (peer.inTotalLoads) {
+    this->AddPeerLoad(peer, -1);
   }
-  peer.word = aWord;
-  peer.sinceWord.clear();
-  this->CountLoad(peer, 1);
+  peer.heartbeat = aWord;
+  peer.sentSinceHeartbeat.clear();
+  this->AddPeerLoad(peer, 1);
   peer.address = aWord.address();
-  peer.heard = aNow;
-  peer.spoke = true;
+  peer.heartbeatAt = aNow;
+  peer.hasHeartbeat = true;
   return true;
 }
 
 void
-PeerTable::HearLedger(const serving::LedgerWord& aLedger)
+PeerTable::ReceiveLedger(const serving::UsageLedger& aLedger)
 {
   const auto found = this->peers.find(DaemonId{ aLedger.id() });
   if (found == this->peers.end()) {
     return; // its first word comes before long, and the next ledger after it
   }
-  Ledger& ledger = found->second.ledger;
-  if (aLedger.life() < ledger.life) {
+  UsageLedger& ledger = found->second.ledger;
+  if (aLedger.life() < ledger.incarnation) {
     return; // it has started again since
   }
-  if (aLedger.life() > ledger.life) {
+  if (aLedger.life() > ledger.incarnation) {
     for (const auto& [key, count] : ledger.counts) {
-      ledger.earlier[key] += count;
+      ledger.previousCounts[key] += count;
     }
     ledger.counts.clear();
     ledger.openWindow = 0;
-    ledger.life = aLedger.life();
+    ledger.incarnation = aLedger.life();
   }
-  for (const serving::UsageWord& usage : aLedger.usage()) {
+  for (const serving::UsageCount& usage : aLedger.usage()) {
     std::uint64_t& count =
       ledger.counts[{ usage.window(), TeamId{ usage.team() } }];
     count = std::max(count, usage.count());
   }
   ledger.openWindow = std::max(ledger.openWindow, aLedger.open_window());
   const auto old = [&ledger](const auto& aPair) {
-    return aPair.first.first + kWindowsKept < ledger.openWindow;
+    return aPair.first.first + kWindowRetention < ledger.openWindow;
   };
   std::erase_if(ledger.counts, old);
-  std::erase_if(ledger.earlier, old);
+  std::erase_if(ledger.previousCounts, old);
 }
 
 void
-PeerTable::HearSent(const serving::SendNotice& aNotice)
+PeerTable::ReceiveSendNotice(const serving::PromptNotice& aNotice)
 {
   const auto found = this->peers.find(DaemonId{ aNotice.id() });
   if (found == this->peers.end()) {
@@ -80,10 +82,10 @@
   }
   const InstanceId backend{ aNotice.backend() };
   const BackendLoad sent{ 1, aNotice.prompt_tokens() };
-  BackendLoad& load = found->second.sinceWord[backend];
+  BackendLoad& load = found->second.sentSinceHeartbeat[backend];
   load.running += sent.running;
   load.promptTokens += sent.promptTokens;
-  if (found->second.counted) {
+  if (found->second.inTotalLoads) {
     this->AddLoad(backend, sent, 1);
   }
 }
@@ -91,34 +93,35 @@
 void
 PeerTable::AddLoad(const InstanceId& aBackend, BackendLoad aLoad, int aSign)
 {
-  BackendLoad& sum = this->loads[aBackend];
+  BackendLoad& sum = this->totalLoads[aBackend];
   sum.running += aSign * aLoad.running;
   sum.promptTokens += aSign * aLoad.promptTokens;
   if (sum == BackendLoad{}) {
-    this->loads.erase(aBackend);
+    this->totalLoads.erase(aBackend);
   }
 }
 
 void
-PeerTable::CountLoad(Peer& aPeer, int aSign)
+PeerTable::AddPeerLoad(Peer& aPeer, int aSign)
 {
-  for (const serving::BackendWord& backend : aPeer.word.backends()) {
+  for (const serving::BackendState& backend : aPeer.heartbeat.backends()) {
     const BackendLoad load{ backend.running(), backend.prompt_tokens() };
     this->AddLoad(InstanceId{ backend.id() }, load, aSign);
   }
-  for (const auto& [id, load] : aPeer.sinceWord) {
+  for (const auto& [id, load] : aPeer.sentSinceHeartbeat) {
     this->AddLoad(id, load, aSign);
   }
-  aPeer.counted = aSign > 0;
+  aPeer.inTotalLoads = aSign > 0;
 }
 
 void
 PeerTable::Expire(TimePoint aNow)
 {
-  this->DropSilent(aNow);
+  this->DropTimedOutLoads(aNow);
   std::erase_if(this->peers, [aNow](const auto& aPair) {
     const Peer& peer = aPair.second;
-    return peer.spoke && !peer.counted && aNow - peer.heard > kForgotten;
+    return peer.hasHeartbeat && !peer.inTotalLoads &&
+           aNow - peer.heartbeatAt > kPeerRetention;
   });
 }
 
@@ -133,7 +136,7 @@
 }
 
 std::vector<std::vector<std::string>>
-PeerTable::AddressParts(std::size_t aMost) const
+PeerTable::AddressBatches(std::size_t aMost) const
 {
   const std::vector<std::string> all = this->Addresses();
   const std::size_t count =
@@ -146,16 +149,18 @@
 }
 
 std::vector<std::string>
-PeerTable::KeeperAddresses(TimePoint aNow) const
+PeerTable::DutyCandidateAddresses(TimePoint aNow) const
 {
   std::vector<std::string> addresses;
   std::size_t first = 0;
   for (const auto& [id, peer] : this->peers) {
-    const bool lives = peer.spoke && aNow - peer.heard <= this->Silent();
+    const bool lives =
+      peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout();
     if (!lives) {
       continue;
     }
-    const bool keeps = first < kKeepers || peer.word.duty_fence() != 0;
+    const bool keeps =
+      first < kDutyCandidates || peer.heartbeat.duty_fence() != 0;
     ++first;
     if (keeps) {
       addresses.push_back(peer.address);
@@ -165,11 +170,11 @@
 }
 
 std::vector<DaemonId>
-PeerTable::Unheard() const
+PeerTable::PeersWithoutHeartbeat() const
 {
   std::vector<DaemonId> unheard;
   for (const auto& [id, peer] : this->peers) {
-    if (!peer.spoke) {
+    if (!peer.hasHeartbeat) {
       unheard.push_back(id);
     }
   }
@@ -177,51 +182,52 @@
 }
 
 std::size_t
-PeerTable::KnownBefore() const
+PeerTable::PrecedingPeers() const
 {
   return static_cast<std::size_t>(
     std::distance(this->peers.begin(), this->peers.lower_bound(this->self)));
 }
 
-std::vector<const serving::DaemonWord*>
-PeerTable::Live(TimePoint aNow) const
+std::vector<const serving::DaemonHeartbeat*>
+PeerTable::LiveHeartbeats(TimePoint aNow) const
 {
-  std::vector<const serving::DaemonWord*> words;
+  std::vector<const serving::DaemonHeartbeat*> words;
   for (const auto& [id, peer] : this->peers) {
-    if (peer.spoke && aNow - peer.heard <= this->Silent()) {
-      words.push_back(&peer.word);
+    if (peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout()) {
+      words.push_back(&peer.heartbeat);
     }
   }
   return words;
 }
 
-std::optional<PeerTable::HolderWord>
-PeerTable::Holder() const
+std::optional<PeerTable::DutyHolderState>
+PeerTable::DutyHolder() const
 {
-  std::optional<HolderWord> holder;
+  std::optional<DutyHolderState> holder;
   for (const auto& [id, peer] : this->peers) {
-    const bool holds =
-      peer.spoke && peer.word.duty_fence() != 0 && !peer.word.stopping();
-    if (holds && (!holder || holder->heard < peer.heard)) {
-      holder = HolderWord{ peer.heard, Position{ peer.word.duty_end() } };
+    const bool holds = peer.hasHeartbeat && peer.heartbeat.duty_fence() != 0 &&
+                       !peer.heartbeat.stopping();
+    if (holds && (!holder || holder->receivedAt < peer.heartbeatAt)) {
+      holder = DutyHolderState{ peer.heartbeatAt,
+                                Position{ peer.heartbeat.duty_end() } };
     }
   }
   return holder;
 }
 
 std::size_t
-PeerTable::Count(TimePoint aNow) const
+PeerTable::LiveDaemons(TimePoint aNow) const
 {
-  return this->Live(aNow).size() + 1;
+  return this->LiveHeartbeats(aNow).size() + 1;
 }
 
 void
-PeerTable::DropSilent(TimePoint aNow)
+PeerTable::DropTimedOutLoads(TimePoint aNow)
 {
-  const Millis silent = this->Silent();
+  const Millis silent = this->PeerTimeout();
   for (auto& [id, peer] : this->peers) {
-    if (peer.counted && aNow - peer.heard > silent) {
-      this->CountLoad(peer, -1);
+    if (peer.inTotalLoads && aNow - peer.heartbeatAt > silent) {
+      this->AddPeerLoad(peer, -1);
     }
   }
 }
@@ -229,16 +235,16 @@
 const std::map<InstanceId, BackendLoad>&
 PeerTable::Loads(TimePoint aNow)
 {
-  this->DropSilent(aNow);
-  return this->loads;
+  this->DropTimedOutLoads(aNow);
+  return this->totalLoads;
 }
 
 double
 PeerTable::PromptRate(const ServiceId& aService, TimePoint aNow) const
 {
   double rate = 0;
-  for (const serving::DaemonWord* word : this->Live(aNow)) {
-    for (const serving::ServiceWord& service : word->services()) {
+  for (const serving::DaemonHeartbeat* word : this->LiveHeartbeats(aNow)) {
+    for (const serving::ServiceLoad& service : word->services()) {
       if (service.service() == aService.value) {
         rate += service.prompt_tokens_per_s();
       }
@@ -248,13 +254,14 @@
 }
 
 std::vector<DaemonId>
-PeerTable::Owing(std::uint64_t aWindow, TimePoint aNow) const
+PeerTable::PendingDaemons(std::uint64_t aWindow, TimePoint aNow) const
 {
   std::vector<DaemonId> owing;
   for (const auto& [id, peer] : this->peers) {
-    const bool lives = peer.spoke && aNow - peer.heard <= this->Silent();
-    const bool final =
-      peer.ledger.life >= peer.word.life() && peer.ledger.openWindow > aWindow;
+    const bool lives =
+      peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout();
+    const bool final = peer.ledger.incarnation >= peer.heartbeat.life() &&
+                       peer.ledger.openWindow > aWindow;
     if (lives && !final) {
       owing.push_back(id);
     }
@@ -275,18 +282,18 @@
   };
   for (const auto& [id, peer] : this->peers) {
     add(peer.ledger.counts);
-    add(peer.ledger.earlier);
+    add(peer.ledger.previousCounts);
   }
   return counts;
 }
 
 std::int64_t
-PeerTable::TrueOffset(std::int64_t aOwnWall, TimePoint aNow) const
+PeerTable::ClusterTimeOffset(std::int64_t aOwnWall, TimePoint aNow) const
 {
   std::vector<std::int64_t> offsets{ aOwnWall - aNow.ms };
   for (const auto& [id, peer] : this->peers) {
-    if (peer.spoke && aNow - peer.heard <= this->Silent()) {
-      offsets.push_back(peer.word.wall_ms() - peer.heard.ms);
+    if (peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout()) {
+      offsets.push_back(peer.heartbeat.wall_ms() - peer.heartbeatAt.ms);
     }
   }
   std::sort(offsets.begin(), offsets.end());
--- a/src/coord/Placement.cpp
+++ b/src/coord/Placement.cpp
@@ -12,39 +12,39 @@
 
 /** What the engine that a part names may be slower by: two daemons that meet a
  * part at the same time agree on it unless it is busy. */
-constexpr double kHomeMs = 15;
+constexpr double kPreferredEngineBonusMs = 15;
 /** Part of the shared tokens that the engine which a part names is taken to
  * have to read, when this daemon has not sent it there lately: others have, and
  * among many daemons that is not known here. Taken to lack them all, it would
  * be passed over for any free engine, and the part be read again there. */
-constexpr double kHomeLacks = 0.3;
+constexpr double kPreferredUncachedShare = 0.3;
 /** A failing engine's expected time is stretched as if each failure in its
  * newest answers cost this; about the time until a caller comes back. */
 constexpr double kFailureCostMs = 1500;
 /** Crossing into another failure domain and back, in milliseconds, with the
  * price of the bytes; breaks ties only. */
-constexpr double kCrossingMs = 2;
+constexpr double kCrossZoneCostMs = 2;
 /** Requests at once beyond an engine's slots that may wait in it; they cannot
  * be refused or moved from there. As a share of the slots. */
 constexpr double kQueueShare = 0.1;
 
 bool
-Usable(const Backend& aBackend,
-       const PlacementRequest& aRequest,
-       TimePoint aNow)
+IsEligible(const Backend& aBackend,
+           const PlacementRequest& aRequest,
+           TimePoint aNow)
 {
-  return !aBackend.leaving && !aBackend.Lapsed(aNow) &&
-         aBackend.pausedUntil <= aNow && !aBackend.Stalled(aNow) &&
-         !aRequest.passedOver.contains(aBackend.entry.id);
+  return !aBackend.leaving && !aBackend.GraceExpired(aNow) &&
+         aBackend.pausedUntil <= aNow && !aBackend.IsStalled(aNow) &&
+         !aRequest.triedBackends.contains(aBackend.entry.id);
 }
 
 /** The back end that a part's id names, the same at every daemon. An engine in
  * need is none: the part's requests would go there now and then, and it would
  * be read again elsewhere for each of the others. */
 InstanceId
-HomeOf(const std::string& aPart,
-       const std::vector<Backend*>& aUsable,
-       const std::set<InstanceId>& aInNeed)
+PreferredEngineOf(const std::string& aPart,
+                  const std::vector<Backend*>& aUsable,
+                  const std::set<InstanceId>& aInNeed)
 {
   InstanceId home;
   std::uint64_t highest = 0;
@@ -53,7 +53,8 @@
     if (aInNeed.contains(backend->entry.id)) {
       continue;
     }
-    const std::uint64_t rank = MixHash(key, Hash64(backend->entry.id.value));
+    const std::uint64_t rank =
+      CombineHashes(key, Hash64(backend->entry.id.value));
     if (home.Empty() || rank > highest) {
       highest = rank;
       home = backend->entry.id;
@@ -65,23 +66,23 @@
 } // namespace
 
 std::uint64_t
-TokensOf(const std::vector<PromptPart>& aPrompt)
+TotalTokens(const std::vector<PromptSection>& aPrompt)
 {
   std::uint64_t tokens = 0;
-  for (const PromptPart& part : aPrompt) {
+  for (const PromptSection& part : aPrompt) {
     tokens += part.tokens;
   }
   return tokens;
 }
 
 std::uint64_t
-OwnTokensOf(const std::vector<PromptPart>& aPrompt)
+UnsharedTokens(const std::vector<PromptSection>& aPrompt)
 {
   return aPrompt.empty() ? 0 : aPrompt.back().tokens;
 }
 
 std::string
-SharedPartOf(const std::vector<PromptPart>& aPrompt)
+SharedSectionId(const std::vector<PromptSection>& aPrompt)
 {
   // The request's own part is the last one.
   return aPrompt.size() < 2 ? std::string{} : aPrompt[aPrompt.size() - 2].id;
@@ -90,16 +91,17 @@
 double
 Placer::ExpectedMs(const Backend& aBackend, std::uint64_t aTokens) const
 {
-  const double reading = static_cast<double>(aBackend.own.promptTokens +
-                                             aBackend.others.promptTokens) +
+  const double reading = static_cast<double>(aBackend.localLoad.promptTokens +
+                                             aBackend.remoteLoad.promptTokens) +
                          static_cast<double>(aTokens);
   const double slots = std::max(1U, aBackend.entry.slots);
-  const double fill = static_cast<double>(aBackend.Running()) / slots;
+  const double fill = static_cast<double>(aBackend.TotalRunning()) / slots;
   // Each running request makes every step a little longer.
-  const double steps = this->speed.tokenMs * (1 + fill);
-  const double over = std::max(0.0, fill - 1) * slots * this->speed.tokenMs;
+  const double steps = this->speed.outputTokenMs * (1 + fill);
+  const double over =
+    std::max(0.0, fill - 1) * slots * this->speed.outputTokenMs;
   return aBackend.slowness * (reading / this->speed.promptTokensPerMs + steps) +
-         over * 10 + aBackend.failureShare * kFailureCostMs;
+         over * 10 + aBackend.failureRate * kFailureCostMs;
 }
 
 std::optional<Placement>
@@ -110,20 +112,20 @@
 {
   std::vector<Backend*> usable;
   for (Backend* backend : aBackends) {
-    if (Usable(*backend, aRequest, aNow)) {
+    if (IsEligible(*backend, aRequest, aNow)) {
       usable.push_back(backend);
     }
   }
   if (usable.empty()) {
     return std::nullopt;
   }
-  const std::uint64_t all = TokensOf(aRequest.prompt);
-  const std::uint64_t own = OwnTokensOf(aRequest.prompt);
-  const std::vector<InstanceId>& holders = aRequest.holders;
-  const std::string shared = SharedPartOf(aRequest.prompt);
+  const std::uint64_t all = TotalTokens(aRequest.prompt);
+  const std::uint64_t own = UnsharedTokens(aRequest.prompt);
+  const std::vector<InstanceId>& holders = aRequest.cachedBackends;
+  const std::string shared = SharedSectionId(aRequest.prompt);
   InstanceId home;
   if (aTraits != nullptr && !shared.empty()) {
-    home = HomeOf(shared, usable, aRequest.inNeed);
+    home = PreferredEngineOf(shared, usable, aRequest.rateLimited);
   }
   Placement best;
   double bestScore = std::numeric_limits<double>::max();
@@ -133,31 +135,31 @@
       std::find(holders.begin(), holders.end(), id) != holders.end();
     std::uint64_t tokens = holds ? own : all;
     if (!holds && id == home) {
-      tokens = own + static_cast<std::uint64_t>(kHomeLacks *
+      tokens = own + static_cast<std::uint64_t>(kPreferredUncachedShare *
                                                 static_cast<double>(all - own));
     }
     const double expected = this->ExpectedMs(*backend, tokens);
     double score = expected;
-    score += backend->entry.zone == this->zone ? 0 : kCrossingMs;
-    score += home.Empty() || id == home || holds ? 0 : kHomeMs;
+    score += backend->entry.zone == this->zone ? 0 : kCrossZoneCostMs;
+    score += home.Empty() || id == home || holds ? 0 : kPreferredEngineBonusMs;
     if (score < bestScore) {
       bestScore = score;
       const double room = backend->entry.slots * (1 + kQueueShare);
-      best = Placement{
-        backend->entry.id,
-        expected,
-        tokens,
-        static_cast<std::uint64_t>(std::max<std::int64_t>(
-          0, backend->own.promptTokens + backend->others.promptTokens)),
-        static_cast<double>(backend->Running()) >= room
-      };
+      best = Placement{ backend->entry.id,
+                        expected,
+                        tokens,
+                        static_cast<std::uint64_t>(std::max<std::int64_t>(
+                          0,
+                          backend->localLoad.promptTokens +
+                            backend->remoteLoad.promptTokens)),
+                        static_cast<double>(backend->TotalRunning()) >= room };
     }
   }
   return best;
 }
 
 void
-Placer::Began(double aTokens, double aMs)
+Placer::RecordResponseStart(double aTokens, double aMs)
 {
   constexpr double kLeastTokens = 2000; // shorter prompts show other delays
   constexpr double kStep = 0.03;        // a change of speed shows in 30 answers
--- a/src/coord/Placement.h
+++ b/src/coord/Placement.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "BackendTable.h"
-#include "PromptPart.h"
+#include "PromptSection.h"
 
 #include <optional>
 #include <set>
@@ -18,13 +18,13 @@
 /** What placement needs to know of a request. */
 struct PlacementRequest
 {
-  std::vector<PromptPart> prompt;
+  std::vector<PromptSection> prompt;
   /** Back ends that have read its shared part. */
-  std::vector<InstanceId> holders;
+  std::vector<InstanceId> cachedBackends;
   /** Back ends that take a few requests only, as they are in need. */
-  std::set<InstanceId> inNeed;
+  std::set<InstanceId> rateLimited;
   /** Back ends that have had this request. */
-  std::set<InstanceId> passedOver;
+  std::set<InstanceId> triedBackends;
 };
 
 /** How fast engines of a service have been seen to work. */
@@ -34,7 +34,7 @@
    * what is seen replaces it within tens of answers. */
   double promptTokensPerMs = 40;
   /** Time of one token of output while few requests run. */
-  double tokenMs = 4;
+  double outputTokenMs = 4;
 };
 
 /** The back end that was chosen and what is expected of it. */
@@ -44,21 +44,21 @@
   double expectedMs = 0; // until the answer begins
   std::uint64_t uncachedTokens = 0;
   /** Prompt tokens of other requests that are to be read before. */
-  std::uint64_t aheadTokens = 0;
+  std::uint64_t queuedTokens = 0;
   /** All of a service's back ends are as full as they may be. */
-  bool queued = false;
+  bool atCapacity = false;
 };
 
 std::uint64_t
-TokensOf(const std::vector<PromptPart>& aPrompt);
+TotalTokens(const std::vector<PromptSection>& aPrompt);
 
 /** Tokens that no other request brings. */
 std::uint64_t
-OwnTokensOf(const std::vector<PromptPart>& aPrompt);
+UnsharedTokens(const std::vector<PromptSection>& aPrompt);
 
 /** The last part that other requests may share; empty when there is none. */
 std::string
-SharedPartOf(const std::vector<PromptPart>& aPrompt);
+SharedSectionId(const std::vector<PromptSection>& aPrompt);
 
 /**
  * A request goes where its shared part was read already, unless the queue there
@@ -86,7 +86,7 @@
    * \param aTokens prompt tokens that the back end had to read before it, the
    *   request's own with them
    * \param aMs time from the send to the first event */
-  void Began(double aTokens, double aMs);
+  void RecordResponseStart(double aTokens, double aMs);
 
   [[nodiscard]] const EngineSpeed& Speed() const { return this->speed; }
 
--- a/src/coord/PrefixMemory.cpp
+++ b/src/coord/PrefixCacheIndex.cpp
@@ -1,4 +1,4 @@
-#include "PrefixMemory.h"
+#include "PrefixCacheIndex.h"
 
 #include <algorithm>
 
@@ -19,50 +19,51 @@
 } // namespace
 
 void
-PrefixMemory::Note(const std::string& aPart,
-                   const InstanceId& aBackend,
-                   TimePoint aNow)
+PrefixCacheIndex::RecordUse(const std::string& aPart,
+                            const InstanceId& aBackend,
+                            TimePoint aNow)
 {
   if (aPart.empty()) {
     return;
   }
-  Uses& uses = this->parts[aPart];
-  std::erase_if(
-    uses, [aNow](const auto& aUse) { return aNow - aUse.second > kKept; });
+  LastUses& uses = this->sections[aPart];
+  std::erase_if(uses, [aNow](const auto& aUse) {
+    return aNow - aUse.second > kEntryRetention;
+  });
   uses[aBackend] = aNow;
-  if (this->parts.size() > kMostParts) {
+  if (this->sections.size() > kMaxSections) {
     this->DropOldest();
   }
 }
 
 void
-PrefixMemory::DropOldest()
+PrefixCacheIndex::DropOldest()
 {
   // A half at a time, so that the search for the oldest ones is rare.
   std::vector<TimePoint> uses;
-  uses.reserve(this->parts.size());
-  for (const auto& [part, holders] : this->parts) {
+  uses.reserve(this->sections.size());
+  for (const auto& [part, holders] : this->sections) {
     uses.push_back(LastUse(holders));
   }
   const auto middle =
     uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
   std::nth_element(uses.begin(), middle, uses.end());
   const TimePoint oldest = *middle;
-  std::erase_if(this->parts, [oldest](const auto& aPart) {
+  std::erase_if(this->sections, [oldest](const auto& aPart) {
     return LastUse(aPart.second) < oldest;
   });
 }
 
 std::vector<InstanceId>
-PrefixMemory::Holders(const std::string& aPart, TimePoint aNow) const
+PrefixCacheIndex::CachedBackends(const std::string& aPart, TimePoint aNow) const
 {
   std::vector<InstanceId> holders;
-  const auto found = this->parts.find(aPart);
-  if (found == this->parts.end()) {
+  const auto found = this->sections.find(aPart);
+  if (found == this->sections.end()) {
     return holders;
   }
   for (const auto& [backend, at] : found->second) {
-    if (aNow - at <= kKept) {
+    if (aNow - at <= kEntryRetention) {
       holders.push_back(backend);
     }
   }
--- a/src/coord/PrefixMemory.h
+++ b/src/coord/PrefixCacheIndex.h
@@ -18,28 +18,28 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class PrefixMemory
+class PrefixCacheIndex
 {
 public:
   /** Engines keep a part for much longer unless their memory runs out; within
    * this time reading it again elsewhere is a waste. */
-  static constexpr Millis kKept{ 30000 };
+  static constexpr Millis kEntryRetention{ 30000 };
   /** Parts remembered; beyond, those used longest ago go. At 100 B each this
    * is half a megabyte. */
-  static constexpr std::size_t kMostParts = 5000;
+  static constexpr std::size_t kMaxSections = 5000;
 
-  void Note(const std::string& aPart,
-            const InstanceId& aBackend,
-            TimePoint aNow);
+  void RecordUse(const std::string& aPart,
+                 const InstanceId& aBackend,
+                 TimePoint aNow);
   /** Back ends that have read it. */
-  [[nodiscard]] std::vector<InstanceId> Holders(const std::string& aPart,
-                                                TimePoint aNow) const;
+  [[nodiscard]] std::vector<InstanceId> CachedBackends(const std::string& aPart,
+                                                       TimePoint aNow) const;
 
 private:
   void DropOldest();
 
-  using Uses = std::map<InstanceId, TimePoint>;
-  std::map<std::string, Uses> parts;
+  using LastUses = std::map<InstanceId, TimePoint>;
+  std::map<std::string, LastUses> sections;
 };
 
 } // namespace toucanshed
--- a/src/coord/PromptPart.h
+++ b/src/coord/PromptSection.h
@@ -9,7 +9,7 @@
 namespace toucanshed {
 
 /** Requests share parts; the last one belongs to the request alone. */
-struct PromptPart
+struct PromptSection
 {
   std::string id;
   std::uint64_t tokens = 0;
--- a/src/coord/QuotaExchange.cpp
+++ b/src/coord/QuotaExchange.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** Time over which a daemon's rate is averaged. */
-constexpr double kRateMs = 2000;
+constexpr double kRateAveragingMs = 2000;
 
 double
 Count(Millis aTime)
@@ -18,7 +18,7 @@
 } // namespace
 
 void
-QuotaExchange::Learn(const DaemonId& aId, TimePoint aNow)
+QuotaExchange::AddPeer(const DaemonId& aId, TimePoint aNow)
 {
   if (aId != this->self) {
     Peer peer;
@@ -28,94 +28,94 @@
 }
 
 void
-QuotaExchange::Hear(const serving::QuotaWord& aWord,
-                    QuotaTelling aTelling,
-                    TimePoint aNow)
+QuotaExchange::ReceiveReport(const serving::QuotaReport& aWord,
+                             QuotaReportTiming aTelling,
+                             TimePoint aNow)
 {
   const DaemonId id{ aWord.id() };
   if (id.Empty() || id == this->self) {
     return;
   }
-  this->Learn(id, aNow);
+  this->AddPeer(id, aNow);
   Peer& peer = this->peers.at(id);
-  if (peer.heard && aWord.life() < peer.life) {
+  if (peer.reportAt && aWord.life() < peer.incarnation) {
     return; // it has started again since
   }
-  const bool startedAgain = peer.heard && aWord.life() > peer.life;
+  const bool startedAgain = peer.reportAt && aWord.life() > peer.incarnation;
   if (startedAgain) {
-    for (auto& [team, use] : peer.uses) {
-      use = Use{}; // it counts from 0 again
-      use.wordAt = aNow;
-      use.ratedAt = aNow;
+    for (auto& [team, use] : peer.usage) {
+      use = TeamUsage{}; // it counts from 0 again
+      use.reportedAt = aNow;
+      use.rateUpdatedAt = aNow;
     }
   }
-  peer.life = aWord.life();
-  if (aTelling == QuotaTelling::eRegular) {
-    if (peer.regular) {
-      peer.gap = aNow - *peer.regular;
+  peer.incarnation = aWord.life();
+  if (aTelling == QuotaReportTiming::ePeriodic) {
+    if (peer.periodicReportAt) {
+      peer.reportInterval = aNow - *peer.periodicReportAt;
     }
-    peer.regular = aNow;
+    peer.periodicReportAt = aNow;
   }
-  for (const serving::TeamWord& team : aWord.teams()) {
-    HearTeam(peer, team, aTelling, aNow);
+  for (const serving::TeamQuotaState& team : aWord.teams()) {
+    ReceiveTeamReport(peer, team, aTelling, aNow);
   }
-  peer.heard = aNow;
+  peer.reportAt = aNow;
 }
 
 void
-QuotaExchange::HearTeam(Peer& aPeer,
-                        const serving::TeamWord& aTeam,
-                        QuotaTelling aTelling,
-                        TimePoint aNow)
+QuotaExchange::ReceiveTeamReport(Peer& aPeer,
+                                 const serving::TeamQuotaState& aTeam,
+                                 QuotaReportTiming aTelling,
+                                 TimePoint aNow)
 {
-  const auto [entry, isNew] = aPeer.uses.try_emplace(TeamId{ aTeam.team() });
-  Use& use = entry->second;
+  const auto [entry, isNew] = aPeer.usage.try_emplace(TeamId{ aTeam.team() });
+  TeamUsage& use = entry->second;
   use.level = aTeam.settled() ? std::optional(aTeam.level()) : std::nullopt;
-  const bool firstWord = isNew && !aPeer.heard;
+  const bool firstWord = isNew && !aPeer.reportAt;
   // The level that a settled daemon tells, and that is taken over here, has its
   // use already. And what one took while it was not heard, its part was kept
   // for; counted as well, it would leave the copies of both sides empty as soon
   // as they hear each other again, though the team is within its limit.
-  if (use.unheard || (firstWord && aTeam.settled())) {
-    CountFrom(use, aTeam.taken(), aNow);
+  if (use.timedOut || (firstWord && aTeam.settled())) {
+    SetBaseline(use, aTeam.taken(), aNow);
     return;
   }
   if (isNew) {
-    use.wordAt = aPeer.heard.value_or(aNow);
-    use.ratedAt = use.wordAt;
+    use.reportedAt = aPeer.reportAt.value_or(aNow);
+    use.rateUpdatedAt = use.reportedAt;
   }
-  if (aTeam.taken() < use.known) {
+  if (aTeam.taken() < use.reported) {
     return; // overtaken by a newer word
   }
-  use.known = aTeam.taken();
-  use.wordAt = aNow;
+  use.reported = aTeam.taken();
+  use.reportedAt = aNow;
   // What is told at once comes right behind a request; a rate taken up to then
   // would look like a flood.
-  if (aTelling == QuotaTelling::eRegular) {
-    Rate(use, aNow);
+  if (aTelling == QuotaReportTiming::ePeriodic) {
+    UpdateRate(use, aNow);
   }
 }
 
 void
-QuotaExchange::CountFrom(Use& aUse, double aTaken, TimePoint aNow)
+QuotaExchange::SetBaseline(TeamUsage& aUse, double aTaken, TimePoint aNow)
 {
-  aUse.known = aTaken;
-  aUse.counted = aTaken;
-  aUse.wordAt = aNow;
-  aUse.ratedTaken = aTaken;
-  aUse.ratedAt = aNow;
-  aUse.unheard = false;
+  aUse.reported = aTaken;
+  aUse.applied = aTaken;
+  aUse.reportedAt = aNow;
+  aUse.rateBaseline = aTaken;
+  aUse.rateUpdatedAt = aNow;
+  aUse.timedOut = false;
 }
 
 void
-QuotaExchange::Rate(Use& aUse, TimePoint aNow)
+QuotaExchange::UpdateRate(TeamUsage& aUse, TimePoint aNow)
 {
-  const double passed = std::max(1.0, Count(aNow - aUse.ratedAt));
-  const double perMs = (aUse.known - aUse.ratedTaken) / passed;
-  const double weight = std::min(1.0, passed / kRateMs);
-  aUse.perMs += weight * (perMs - aUse.perMs);
-  aUse.ratedTaken = aUse.known;
-  aUse.ratedAt = aNow;
+  const double passed = std::max(1.0, Count(aNow - aUse.rateUpdatedAt));
+  const double perMs = (aUse.reported - aUse.rateBaseline) / passed;
+  const double weight = std::min(1.0, passed / kRateAveragingMs);
+  aUse.ratePerMs += weight * (perMs - aUse.ratePerMs);
+  aUse.rateBaseline = aUse.reported;
+  aUse.rateUpdatedAt = aNow;
 }
 
 void
@@ -123,44 +123,45 @@
 {
   std::erase_if(this->peers, [aNow](const auto& aPair) {
     const Peer& peer = aPair.second;
-    return aNow - peer.heard.value_or(peer.knownSince) > kForgotten;
+    return aNow - peer.reportAt.value_or(peer.knownSince) > kPeerRetention;
   });
 }
 
 std::map<TeamId, double>
-QuotaExchange::TakeUse(TimePoint aNow, Millis aSilent)
+QuotaExchange::TakeRemoteUsage(TimePoint aNow, Millis aSilent)
 {
   std::map<TeamId, double> news;
   for (auto& [id, peer] : this->peers) {
-    for (auto& [team, use] : peer.uses) {
-      use.unheard = use.unheard || (peer.heard && aNow - *peer.heard > aSilent);
+    for (auto& [team, use] : peer.usage) {
+      use.timedOut =
+        use.timedOut || (peer.reportAt && aNow - *peer.reportAt > aSilent);
       // Most teams use most daemons rarely, and there are hundreds of each.
-      const bool idle = use.perMs == 0 && use.counted == use.known;
+      const bool idle = use.ratePerMs == 0 && use.applied == use.reported;
       if (idle) {
         continue;
       }
-      const Millis silent = std::min(aNow - use.wordAt, aSilent);
-      const double counted = use.known + use.perMs * Count(silent);
-      news[team] += counted - use.counted;
-      use.counted = counted;
+      const Millis silent = std::min(aNow - use.reportedAt, aSilent);
+      const double counted = use.reported + use.ratePerMs * Count(silent);
+      news[team] += counted - use.applied;
+      use.applied = counted;
     }
   }
   return news;
 }
 
 double
-QuotaExchange::HeardPart(TimePoint aNow,
-                         Millis aSilent,
-                         bool aReachesStore) const
+QuotaExchange::ReachableShare(TimePoint aNow,
+                              Millis aSilent,
+                              bool aReachesStore) const
 {
   double heard = 1;
   double silent = 0;
   double gone = 0;
   for (const auto& [id, peer] : this->peers) {
-    const Millis since = aNow - peer.heard.value_or(peer.knownSince);
-    if (peer.heard && since <= aSilent) {
+    const Millis since = aNow - peer.reportAt.value_or(peer.knownSince);
+    if (peer.reportAt && since <= aSilent) {
       ++heard;
-    } else if (since <= kKept) {
+    } else if (since <= kShareRetention) {
       ++silent;
     } else {
       ++gone;
@@ -170,20 +171,22 @@
   if (alone && !aReachesStore) {
     return heard / (heard + silent + gone);
   }
-  if (!this->listed && this->peers.empty()) {
+  if (!this->listRead && this->peers.empty()) {
     return 0;
   }
   return heard / (heard + silent);
 }
 
 Millis
-QuotaExchange::WordGap(TimePoint aNow, Millis aSilent, Millis aUsual) const
+QuotaExchange::ReportInterval(TimePoint aNow,
+                              Millis aSilent,
+                              Millis aUsual) const
 {
   Millis sum{ 0 };
   std::int64_t known = 0;
   for (const auto& [id, peer] : this->peers) {
-    if (peer.gap && aNow - *peer.regular <= aSilent) {
-      sum += std::max(*peer.gap, aNow - *peer.regular);
+    if (peer.reportInterval && aNow - *peer.periodicReportAt <= aSilent) {
+      sum += std::max(*peer.reportInterval, aNow - *peer.periodicReportAt);
       ++known;
     }
   }
@@ -191,13 +194,13 @@
 }
 
 std::optional<double>
-QuotaExchange::ToldLevel(const TeamId& aTeam, TimePoint aNow) const
+QuotaExchange::ReportedLevel(const TeamId& aTeam, TimePoint aNow) const
 {
   std::optional<double> lowest;
   for (const auto& [id, peer] : this->peers) {
-    const auto found = peer.uses.find(aTeam);
-    const bool told = found != peer.uses.end() && found->second.level &&
-                      peer.heard && aNow - *peer.heard <= kKept;
+    const auto found = peer.usage.find(aTeam);
+    const bool told = found != peer.usage.end() && found->second.level &&
+                      peer.reportAt && aNow - *peer.reportAt <= kShareRetention;
     if (told) {
       lowest =
         std::min(lowest.value_or(*found->second.level), *found->second.level);
--- a/src/coord/RateMeter.h
+++ b/src/coord/RateMeter.h
@@ -15,17 +15,17 @@
 public:
   /** Time over which is averaged: short enough to follow a peak as it begins,
    * long enough that one large prompt does not sway it. */
-  static constexpr Millis kOver{ 3000 };
+  static constexpr Millis kAveragingTime{ 3000 };
 
   void Add(double aAmount, TimePoint aNow)
   {
-    this->perSecond = this->At(aNow) + aAmount / Seconds(kOver);
+    this->perSecond = this->At(aNow) + aAmount / Seconds(kAveragingTime);
     this->asOf = aNow;
   }
   [[nodiscard]] double At(TimePoint aNow) const
   {
     return this->perSecond *
-           std::exp(-Seconds(aNow - this->asOf) / Seconds(kOver));
+           std::exp(-Seconds(aNow - this->asOf) / Seconds(kAveragingTime));
   }
 
 private:
--- a/src/coord/ReadRetry.h
+++ b/src/coord/ReadBackoff.h
@@ -17,29 +17,29 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class ReadRetry
+class ReadBackoff
 {
 public:
   /** Often enough that a change made as the store returns is in force within
    * its bound. */
-  static constexpr Millis kFirst{ 200 };
+  static constexpr Millis kInitialDelay{ 200 };
   /** The longest pause for each daemon there is: 90 calls a second in all. */
-  static constexpr Millis kForEach{ 11 };
+  static constexpr Millis kMaxDelayPerDaemon{ 11 };
 
   /** A read has failed. \return how long to wait.
    * \param aDaemons all daemons that may be asking, at least 1 */
-  Millis Failed(std::size_t aDaemons)
+  Millis NextDelay(std::size_t aDaemons)
   {
-    const Millis most =
-      std::max(kFirst, kForEach * static_cast<std::int64_t>(aDaemons));
-    const Millis pause = std::min(this->next, most);
-    this->next = std::min(2 * this->next, most);
+    const Millis most = std::max(
+      kInitialDelay, kMaxDelayPerDaemon * static_cast<std::int64_t>(aDaemons));
+    const Millis pause = std::min(this->nextDelay, most);
+    this->nextDelay = std::min(2 * this->nextDelay, most);
     return pause;
   }
-  void Succeeded() { this->next = kFirst; }
+  void Reset() { this->nextDelay = kInitialDelay; }
 
 private:
-  Millis next = kFirst;
+  Millis nextDelay = kInitialDelay;
 };
 
 } // namespace toucanshed
--- a/src/coord/HighestLately.h
+++ b/src/coord/RecentMax.h
@@ -10,11 +10,11 @@
 namespace toucanshed {
 
 /** Thread safety: none; the owner serialises. */
-class HighestLately
+class RecentMax
 {
 public:
-  explicit HighestLately(Millis aOver)
-    : over(aOver)
+  explicit RecentMax(Millis aOver)
+    : window(aOver)
   {
   }
 
@@ -24,7 +24,7 @@
       this->values.pop_back();
     }
     this->values.push_back(Sample{ aValue, aNow });
-    while (aNow - this->values.front().at > this->over) {
+    while (aNow - this->values.front().at > this->window) {
       this->values.pop_front();
     }
   }
@@ -41,7 +41,7 @@
     TimePoint at;
   };
 
-  Millis over;
+  Millis window;
   std::deque<Sample> values; // falling
 };
 
--- a/src/coord/ReclaimWatch.cpp
+++ b/src/coord/ReclaimTracker.cpp
@@ -1,14 +1,14 @@
-#include "ReclaimWatch.h"
+#include "ReclaimTracker.h"
 
 namespace toucanshed {
 
 void
-ReclaimWatch::See(const ZoneId& aZone,
-                  unsigned aStaying,
-                  unsigned aLeaving,
-                  TimePoint aNow)
+ReclaimTracker::Observe(const ZoneId& aZone,
+                        unsigned aStaying,
+                        unsigned aLeaving,
+                        TimePoint aNow)
 {
-  Domain& domain = this->domains[aZone];
+  ZoneState& domain = this->zones[aZone];
   const bool leaving = aStaying == 0 && aLeaving > 0;
   const bool begins = leaving && !domain.leaving;
   domain.leaving = leaving;
@@ -19,10 +19,10 @@
 }
 
 unsigned
-ReclaimWatch::Lately(Millis aWithin, TimePoint aNow) const
+ReclaimTracker::CountWithin(Millis aWithin, TimePoint aNow) const
 {
   unsigned count = 0;
-  for (const auto& [zone, domain] : this->domains) {
+  for (const auto& [zone, domain] : this->zones) {
     const bool lately =
       domain.everReclaimed && aNow - domain.reclaimedAt <= aWithin;
     count += lately ? 1 : 0;
--- a/src/coord/ReclaimWatch.h
+++ b/src/coord/ReclaimTracker.h
@@ -16,28 +16,28 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class ReclaimWatch
+class ReclaimTracker
 {
 public:
   /** Notes a failure domain's reclaimable engines. All of them leaving together
    * is a reclaim; an order of ours leaves at least one. */
-  void See(const ZoneId& aZone,
-           unsigned aStaying,
-           unsigned aLeaving,
-           TimePoint aNow);
+  void Observe(const ZoneId& aZone,
+               unsigned aStaying,
+               unsigned aLeaving,
+               TimePoint aNow);
   /** Failure domains that were reclaimed within the last aWithin. Those whose
    * engines have been replaced since need not be counted. */
-  [[nodiscard]] unsigned Lately(Millis aWithin, TimePoint aNow) const;
+  [[nodiscard]] unsigned CountWithin(Millis aWithin, TimePoint aNow) const;
 
 private:
-  struct Domain
+  struct ZoneState
   {
     bool leaving = false;
     TimePoint reclaimedAt;
     bool everReclaimed = false;
   };
 
-  std::map<ZoneId, Domain> domains;
+  std::map<ZoneId, ZoneState> zones;
 };
 
 } // namespace toucanshed
--- a/src/coord/AnswerAssembler.h
+++ b/src/coord/ResponseAssembler.h
@@ -14,11 +14,11 @@
 namespace toucanshed {
 
 /** What to do with an event of the stream. */
-enum class EventVerdict
+enum class EventAction
 {
-  eDeliver, // the next token of this answer
-  eIgnore,  // another attempt's, or a token that was delivered already
-  eBroken,  // tokens are missing: this stream cannot be trusted further
+  eDeliver,     // the next token of this answer
+  eIgnore,      // another attempt's, or a token that was delivered already
+  eAbortStream, // tokens are missing: this stream cannot be trusted further
 };
 
 /**
@@ -30,35 +30,38 @@
  *
  * Thread safety: none; one answer belongs to one coroutine.
  */
-class AnswerAssembler
+class ResponseAssembler
 {
 public:
   /** Expects events of this attempt from now on; the prefix is kept. */
   void BeginAttempt(AttemptId aAttempt) { this->attempt = std::move(aAttempt); }
 
   /** Judges a token; on eDeliver it has been appended to Text. */
-  EventVerdict Token(std::string_view aAttempt,
-                     std::uint64_t aOffset,
-                     std::string_view aToken);
+  EventAction AddToken(std::string_view aAttempt,
+                       std::uint64_t aOffset,
+                       std::string_view aToken);
   /** Judges the end; eDeliver says that the answer is whole. */
-  EventVerdict Done(std::string_view aAttempt, std::uint64_t aCount) const;
+  EventAction CheckEnd(std::string_view aAttempt, std::uint64_t aCount) const;
 
-  [[nodiscard]] std::uint64_t Count() const { return this->count; }
+  [[nodiscard]] std::uint64_t TokenCount() const { return this->tokenCount; }
   [[nodiscard]] const std::string& Text() const { return this->text; }
   /** The tokens one by one. */
   [[nodiscard]] std::vector<std::string> Tokens() const;
   /** Hash over the tokens so far, to recognise the same prefix elsewhere. */
   [[nodiscard]] std::uint64_t PrefixHash() const { return this->hash; }
   /** Events dropped because they were another attempt's or known already. */
-  [[nodiscard]] std::uint64_t Ignored() const { return this->ignored; }
+  [[nodiscard]] std::uint64_t IgnoredCount() const
+  {
+    return this->ignoredCount;
+  }
 
 private:
   AttemptId attempt;
-  std::uint64_t count = 0;
+  std::uint64_t tokenCount = 0;
   std::uint64_t hash = 0;
-  std::uint64_t ignored = 0;
+  std::uint64_t ignoredCount = 0;
   std::string text;
-  std::vector<std::uint32_t> lengths; // of the tokens in text
+  std::vector<std::uint32_t> tokenLengths; // of the tokens in text
 };
 
 } // namespace toucanshed
--- a/src/coord/RetryBudget.h
+++ b/src/coord/RetryBudget.h
@@ -18,23 +18,27 @@
 {
 public:
   /** Retries earned by a first try. */
-  static constexpr double kEarned = 0.1;
+  static constexpr double kRetriesPerRequest = 0.1;
   /** Retries that may be saved up, for a crash after a calm time. */
-  static constexpr double kMostSaved = 50;
+  static constexpr double kMaxRetries = 50;
 
-  void FirstTry() { this->saved = std::min(kMostSaved, this->saved + kEarned); }
+  void RecordRequest()
+  {
+    this->available =
+      std::min(kMaxRetries, this->available + kRetriesPerRequest);
+  }
   /** Takes one retry. \return false when none is left. */
-  bool TakeRetry()
+  bool TryTakeRetry()
   {
-    if (this->saved < 1) {
+    if (this->available < 1) {
       return false;
     }
-    this->saved -= 1;
+    this->available -= 1;
     return true;
   }
 
 private:
-  double saved = kMostSaved;
+  double available = kMaxRetries;
 };
 
 } // namespace toucanshed
--- a/src/coord/MoveOrder.h
+++ b/src/coord/RolloutOrder.h
@@ -8,14 +8,14 @@
 namespace toucanshed {
 
 /** Where a move stands, as operators are told. */
-enum class MoveStage
+enum class RolloutPhase
 {
   eActive,
   eCompleted,
-  eTakenBack,
+  eRolledBack,
 };
 
-struct MoveOrder
+struct RolloutOrder
 {
   ServiceId service;
   VersionId target;
--- a/src/coord/MovePlanner.h
+++ b/src/coord/RolloutPlanner.h
@@ -3,8 +3,8 @@
  */
 #pragma once
 
-#include "MoveState.h"
-#include "VersionTest.h"
+#include "RolloutState.h"
+#include "VersionComparison.h"
 #include "base/Types.h"
 #include "config.pb.h"
 
@@ -12,28 +12,28 @@
 
 namespace toucanshed {
 
-enum class MoveProposal
+enum class RolloutAction
 {
   eWait,
   eAdvance,
-  eTakeBack,
+  eRollBack,
   eDone,
 };
 
-struct MoveDecision
+struct RolloutProposal
 {
-  MoveProposal proposal = MoveProposal::eWait;
+  RolloutAction action = RolloutAction::eWait;
   std::string reason;
 };
 
 /** What the planner looks at. */
-struct MoveOutlook
+struct RolloutPlanInput
 {
-  MoveState state;
-  config::Move asked;
-  TimePoint stepSince;            // when this daemon folded the present step
+  RolloutState state;
+  config::Move spec;
+  TimePoint stepStartedAt;        // when this daemon folded the present step
   std::uint64_t stepRequests = 0; // on the new version since then
-  VersionFinding finding;
+  VersionVerdict finding;
 };
 
 /**
@@ -45,11 +45,11 @@
  *
  * Thread safety: pure function.
  */
-MoveDecision
-PlanMove(const MoveOutlook& aOutlook, TimePoint aNow);
+RolloutProposal
+PlanRollout(const RolloutPlanInput& aOutlook, TimePoint aNow);
 
 /** The shortest time a step lasts. */
 Millis
-ShortestStep(const config::Move& aAsked);
+MinStepDuration(const config::Move& aAsked);
 
 } // namespace toucanshed
--- a/src/coord/MoveState.cpp
+++ b/src/coord/RolloutState.cpp
@@ -1,26 +1,26 @@
-#include "MoveState.h"
+#include "RolloutState.h"
 
 namespace toucanshed {
 
 std::uint32_t
-SharePercentAt(std::uint32_t aStep, std::uint32_t aCanaryPercent)
+NewVersionPercentAt(std::uint32_t aStep, std::uint32_t aCanaryPercent)
 {
   constexpr std::array<std::uint32_t, 5> kShares{ 0, 10, 25, 50, 95 };
-  static_assert(kShares.size() == kLastMoveStep + 1);
+  static_assert(kShares.size() == kLastRolloutStep + 1);
   return aStep == 0 ? aCanaryPercent : kShares.at(aStep);
 }
 
 std::string
-ToText(MoveStatus aStatus)
+ToText(RolloutStatus aStatus)
 {
   switch (aStatus) {
-    case MoveStatus::eRunning:
+    case RolloutStatus::eRunning:
       return "running";
-    case MoveStatus::eDone:
+    case RolloutStatus::eDone:
       return "done";
-    case MoveStatus::eTakenBack:
+    case RolloutStatus::eRolledBack:
       return "taken-back";
-    case MoveStatus::eOvertaken:
+    case RolloutStatus::eSuperseded:
       return "overtaken";
   }
   return "running";
--- a/src/coord/MoveState.h
+++ b/src/coord/RolloutState.h
@@ -12,24 +12,24 @@
 namespace toucanshed {
 
 /** How a move stands or ended. */
-enum class MoveStatus
+enum class RolloutStatus
 {
   eRunning,
   eDone,
-  eTakenBack,
-  eOvertaken, // a newer document replaced it
+  eRolledBack,
+  eSuperseded, // a newer document replaced it
 };
 
 /** One move, named by the revision of the document that asked for it, so that
  * an old word about the same version cannot stop a later move to it. */
-struct MoveState
+struct RolloutState
 {
-  Position move;
+  Position rollout;
   ServiceId service;
   VersionId from;
   VersionId to;
   std::uint32_t step = 0;
-  MoveStatus status = MoveStatus::eRunning;
+  RolloutStatus status = RolloutStatus::eRunning;
   std::string reason;
   TimePoint started;
 };
@@ -40,13 +40,13 @@
  * that serves in the same hour.
  * \param aCanaryPercent from the document, 1 to 10. */
 std::uint32_t
-SharePercentAt(std::uint32_t aStep, std::uint32_t aCanaryPercent);
+NewVersionPercentAt(std::uint32_t aStep, std::uint32_t aCanaryPercent);
 
 /** Number of the last step. */
-constexpr std::uint32_t kLastMoveStep = 4;
+constexpr std::uint32_t kLastRolloutStep = 4;
 
 /** "running", "done", "taken-back" or "overtaken". */
 std::string
-ToText(MoveStatus aStatus);
+ToText(RolloutStatus aStatus);
 
 } // namespace toucanshed
--- a/src/coord/VersionMoves.h
+++ b/src/coord/Rollouts.h
@@ -4,8 +4,8 @@
  */
 #pragma once
 
-#include "MoveOrder.h"
-#include "VersionTest.h"
+#include "RolloutOrder.h"
+#include "VersionComparison.h"
 
 #include <map>
 #include <optional>
@@ -15,33 +15,33 @@
 
 /** What the engines of a service could bear once a move has ended, as one
  * daemon knows it. */
-struct MoveOutlook
+struct RolloutReadiness
 {
-  double target = 0;     // engines of the new version that may be used and stay
-  double old = 0;        // the same of the old version
-  double needed = 0;     // engines without which callers would be refused
-  bool doubtful = false; // the evidence speaks against the new version
+  double newEngines = 0; // engines of the new version that may be used and stay
+  double oldEngines = 0; // the same of the old version
+  double requiredEngines = 0; // engines without which callers would be refused
+  bool doubtful = false;      // the evidence speaks against the new version
 
   /** The new version can take all traffic. */
-  [[nodiscard]] bool Bears() const
+  [[nodiscard]] bool CanServeAll() const
   {
-    return this->target > 0 && this->target >= this->needed;
+    return this->newEngines > 0 && this->newEngines >= this->requiredEngines;
   }
 };
 
 /** One order and how it stands. */
-struct VersionMove
+struct Rollout
 {
-  MoveOrder order;
+  RolloutOrder order;
   TimePoint started; // when this daemon read it
-  MoveStage stage = MoveStage::eActive;
-  std::optional<MoveOutlook> outlook; // nothing: not known yet
-  TimePoint bearsSince;               // while the outlook says so
+  RolloutPhase phase = RolloutPhase::eActive;
+  std::optional<RolloutReadiness> readiness; // nothing: not known yet
+  TimePoint readySince;                      // while the outlook says so
 
   /** Whether the new version can take all traffic, as far as is known. */
-  [[nodiscard]] bool Bears() const
+  [[nodiscard]] bool CanServeAll() const
   {
-    return !this->outlook || this->outlook->Bears();
+    return !this->readiness || this->readiness->CanServeAll();
   }
   [[nodiscard]] TimePoint Deadline() const
   {
@@ -52,7 +52,7 @@
 /** How much of a service's traffic a version that may be bad may have. */
 struct ExposureLimits
 {
-  double share = 0.1; // from the order to its deadline
+  double trafficShare = 0.1; // from the order to its deadline
 };
 
 /**
@@ -72,43 +72,43 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class VersionMoves
+class Rollouts
 {
 public:
   /** Part of the exposure limit that the canary uses. */
-  static constexpr double kCanaryPart = 0.45;
+  static constexpr double kCanaryShare = 0.45;
   /** Part of it that the last moment uses. */
-  static constexpr double kLastPart = 0.4;
+  static constexpr double kCutoverShare = 0.4;
   /** The least last moment: a decision takes a record and a status. */
-  static constexpr Millis kLeastLast{ 400 };
+  static constexpr Millis kMinCutover{ 400 };
   /** Part of the last moment in which the share rises; the rest empties the old
    * version. */
-  static constexpr double kRisingPart = 0.5;
+  static constexpr double kRampUpShare = 0.5;
   /** The same after the deadline, to which the exposure limit applies. */
-  static constexpr Millis kLateRise{ 1500 };
-  static constexpr Millis kLateEmptying{ 500 };
+  static constexpr Millis kOverdueRampUp{ 1500 };
+  static constexpr Millis kOverdueDrain{ 500 };
   /** After its deadline a move waits this long for engines at most. */
-  static constexpr Millis kLongestWait{ 30000 };
+  static constexpr Millis kMaxWait{ 30000 };
 
-  explicit VersionMoves(ExposureLimits aLimits)
+  explicit Rollouts(ExposureLimits aLimits)
     : limits(aLimits)
   {
   }
 
   /** Takes an order; one of a later record replaces it. */
-  void Ordered(const MoveOrder& aOrder, TimePoint aNow);
+  void Start(const RolloutOrder& aOrder, TimePoint aNow);
   /** The order at a position was decided. */
-  void Ended(const ServiceId& aService, Position aOrder, MoveStage aStage);
+  void End(const ServiceId& aService, Position aOrder, RolloutPhase aStage);
 
   /** Takes in what the engines could bear. */
-  void SetOutlook(const ServiceId& aService,
-                  const MoveOutlook& aOutlook,
-                  TimePoint aNow);
+  void SetReadiness(const ServiceId& aService,
+                    const RolloutReadiness& aOutlook,
+                    TimePoint aNow);
 
-  [[nodiscard]] const VersionMove* Find(const ServiceId& aService) const;
-  [[nodiscard]] std::vector<VersionMove> Active() const;
+  [[nodiscard]] const Rollout* Find(const ServiceId& aService) const;
+  [[nodiscard]] std::vector<Rollout> Active() const;
   /** The newest order of each service, ended or not. */
-  [[nodiscard]] std::vector<VersionMove> All() const;
+  [[nodiscard]] std::vector<Rollout> All() const;
 
   /** Whether a request may be sent to a version; the same for one attempt at
    * every daemon. Versions that no order names may always be used. */
@@ -119,28 +119,30 @@
 
   /** What to decide now, if anything.
    * \param aFinding of the evidence of all daemons */
-  [[nodiscard]] std::optional<MoveStage> Decide(const VersionMove& aMove,
-                                                const VersionFinding& aFinding,
-                                                TimePoint aNow) const;
+  [[nodiscard]] std::optional<RolloutPhase> Decide(
+    const Rollout& aMove,
+    const VersionVerdict& aFinding,
+    TimePoint aNow) const;
   /** Whether only too few engines keep the move from being completed. */
-  [[nodiscard]] bool Waits(const VersionMove& aMove,
-                           const VersionFinding& aFinding,
-                           TimePoint aNow) const;
+  [[nodiscard]] bool IsWaitingForEngines(const Rollout& aMove,
+                                         const VersionVerdict& aFinding,
+                                         TimePoint aNow) const;
 
 private:
   /** Part of the requests that the new version has. */
-  [[nodiscard]] double ShareAt(const VersionMove& aMove, TimePoint aNow) const;
-  [[nodiscard]] double LateShareAt(const VersionMove& aMove,
-                                   TimePoint aNow) const;
-  [[nodiscard]] Millis LastMoment(const VersionMove& aMove) const;
-  [[nodiscard]] TimePoint LastBegins(const VersionMove& aMove) const;
+  [[nodiscard]] double NewVersionShareAt(const Rollout& aMove,
+                                         TimePoint aNow) const;
+  [[nodiscard]] double OverdueShareAt(const Rollout& aMove,
+                                      TimePoint aNow) const;
+  [[nodiscard]] Millis CutoverDuration(const Rollout& aMove) const;
+  [[nodiscard]] TimePoint CutoverStart(const Rollout& aMove) const;
   /** When the old version has been emptied, if all goes well. */
-  [[nodiscard]] TimePoint PlannedDecision(const VersionMove& aMove) const;
+  [[nodiscard]] TimePoint PlannedDecision(const Rollout& aMove) const;
   /** When it has been, or is taken to be, with the engines there are. */
-  [[nodiscard]] TimePoint DecisionAt(const VersionMove& aMove) const;
+  [[nodiscard]] TimePoint DecisionTime(const Rollout& aMove) const;
 
   ExposureLimits limits;
-  std::map<ServiceId, VersionMove> moves;
+  std::map<ServiceId, Rollout> rollouts;
 };
 
 } // namespace toucanshed
--- a/src/coord/Router.cpp
+++ b/src/coord/Router.cpp
@@ -13,18 +13,18 @@
 constexpr std::size_t kRingCandidates = 2;
 constexpr std::size_t kRandomCandidates = 2;
 /** Looked at while all before them would make the request wait. */
-constexpr std::size_t kMostRandomCandidates = 12;
+constexpr std::size_t kMaxRandomCandidates = 12;
 /** Prompt tokens an engine computes in a millisecond, for estimates; each
  * engine's slowness, as seen here, corrects what this gets wrong. */
-constexpr double kPrefillPerMs = 20;
-constexpr double kStepMs = 5;
-constexpr double kOtherZoneMs = 2;
+constexpr double kPrefillTokensPerMs = 20;
+constexpr double kDecodeStepMs = 5;
+constexpr double kCrossZoneMs = 2;
 /** Weight of a new observation in the running means. */
-constexpr double kNewWeight = 0.1;
-constexpr double kMostSlowness = 50;
+constexpr double kSmoothingFactor = 0.1;
+constexpr double kMaxSlowness = 50;
 /** Back ends looked at when the candidates are full; the bound keeps a choice
  * in a full fleet as cheap as in an empty one. */
-constexpr std::size_t kMostTried = 32;
+constexpr std::size_t kMaxScannedEngines = 32;
 
 } // namespace
 
@@ -35,24 +35,24 @@
 }
 
 double
-Router::MostInFlight(const EngineReport& aReport) const
+Router::MaxInFlight(const EngineReport& aReport) const
 {
   // Twice its fair part of the slots: daemons are not loaded alike, and the
   // adaptive limit takes back what proves too much.
   const auto part =
-    static_cast<double>(aReport.slots) / static_cast<double>(this->daemons);
+    static_cast<double>(aReport.slots) / static_cast<double>(this->daemonCount);
   return std::max(1.0, std::ceil(2 * part));
 }
 
 void
-Router::SetDaemons(std::size_t aCount)
+Router::SetDaemonCount(std::size_t aCount)
 {
-  if (this->daemons == std::max<std::size_t>(1, aCount)) {
+  if (this->daemonCount == std::max<std::size_t>(1, aCount)) {
     return;
   }
-  this->daemons = std::max<std::size_t>(1, aCount);
+  this->daemonCount = std::max<std::size_t>(1, aCount);
   for (auto& [id, engine] : this->engines) {
-    engine->limit.SetMost(this->MostInFlight(engine->report));
+    engine->concurrencyLimit.SetMaxInFlight(this->MaxInFlight(engine->report));
   }
 }
 
@@ -64,18 +64,18 @@
     slot == nullptr || slot->report.incarnation != aReport.incarnation;
   if (fresh) {
     slot = std::make_unique<Engine>();
-    slot->limit = AdaptiveLimit(this->MostInFlight(aReport));
+    slot->concurrencyLimit = AdaptiveLimit(this->MaxInFlight(aReport));
   }
   const bool moved = fresh || slot->report.version != aReport.version ||
                      slot->report.service != aReport.service;
   const bool leaving = aReport.leaving || slot->report.leaving;
   slot->report = aReport;
   slot->report.leaving = leaving;
-  ++slot->reports;
-  slot->freshInFlight = 0;
-  slot->ended = 0;
+  ++slot->reportCount;
+  slot->inFlightSinceReport = 0;
+  slot->endedSinceReport = 0;
   if (moved) {
-    this->Regroup();
+    this->RebuildGroups();
   }
 }
 
@@ -83,16 +83,16 @@
 Router::Remove(const InstanceId& aId)
 {
   if (this->engines.erase(aId) != 0) {
-    this->Regroup();
+    this->RebuildGroups();
   }
 }
 
 void
-Router::Regroup()
+Router::RebuildGroups()
 {
   this->groups.clear();
   for (const auto& [id, engine] : this->engines) {
-    Group& group =
+    VersionGroup& group =
       this->groups[{ engine->report.service, engine->report.version }];
     group.engines.push_back(engine.get());
     for (std::uint64_t point = 0; point < kPointsPerEngine; ++point) {
@@ -114,13 +114,13 @@
 {
   const auto slash = aLife.rfind('/');
   const auto found = this->engines.find(InstanceId{ aLife.substr(0, slash) });
-  const bool same =
-    found != this->engines.end() && LifeOf(found->second->report) == aLife;
+  const bool same = found != this->engines.end() &&
+                    IncarnationKeyOf(found->second->report) == aLife;
   return same ? found->second.get() : nullptr;
 }
 
 const Engine*
-Router::FindLife(const std::string& aLife) const
+Router::FindIncarnation(const std::string& aLife) const
 {
   return const_cast<Router*>(this)->FindEngine(aLife);
 }
@@ -145,24 +145,26 @@
 }
 
 bool
-Router::Usable(const Engine& aEngine,
-               const RouteRequest& aRequest,
-               TimePoint aNow) const
+Router::CanAccept(const Engine& aEngine,
+                  const RouteRequest& aRequest,
+                  TimePoint aNow) const
 {
   if (aEngine.report.leaving || aEngine.downUntil > aNow ||
-      !aEngine.limit.Allows(static_cast<double>(aEngine.inFlight))) {
+      !aEngine.concurrencyLimit.Allows(static_cast<double>(aEngine.inFlight))) {
     return false;
   }
-  const double load = aEngine.Load(static_cast<double>(this->daemons));
-  if (aRequest.leaveFree > 0 && load + 1 + aRequest.leaveFree >
-                                  static_cast<double>(aEngine.report.slots)) {
+  const double load =
+    aEngine.EstimatedLoad(static_cast<double>(this->daemonCount));
+  if (aRequest.reservedSlots > 0 &&
+      load + 1 + aRequest.reservedSlots >
+        static_cast<double>(aEngine.report.slots)) {
     return false;
   }
-  if (aRequest.avoid.empty() && this->reserved.empty()) {
+  if (aRequest.excluded.empty() && this->reserved.empty()) {
     return true;
   }
-  const std::string life = LifeOf(aEngine.report);
-  return aRequest.avoid.count(life) == 0 && this->reserved.count(life) == 0;
+  const std::string life = IncarnationKeyOf(aEngine.report);
+  return aRequest.excluded.count(life) == 0 && this->reserved.count(life) == 0;
 }
 
 double
@@ -171,28 +173,29 @@
                    bool aCached) const
 {
   const auto slots = static_cast<double>(aEngine.report.slots);
-  const double load = aEngine.Load(static_cast<double>(this->daemons));
+  const double load =
+    aEngine.EstimatedLoad(static_cast<double>(this->daemonCount));
   const double ahead = std::max(0.0, load + 1 - slots);
   const double queue = ahead * aEngine.meanServiceMs / slots;
   const auto left = static_cast<double>(aRequest.promptTokens -
                                         (aCached ? aRequest.prefixTokens : 0));
-  const double prefill = left / kPrefillPerMs;
+  const double prefill = left / kPrefillTokensPerMs;
   const bool near = aEngine.report.zone == aRequest.zone;
   // A fuller batch steps slower; this also spreads load while no queue forms.
-  const double batch = kStepMs * (1 + std::min(1.0, load / slots));
+  const double batch = kDecodeStepMs * (1 + std::min(1.0, load / slots));
   return (queue + prefill + batch) * aEngine.slowness +
-         (near ? 0 : kOtherZoneMs);
+         (near ? 0 : kCrossZoneMs);
 }
 
 Engine*
-Router::Best(Group& aGroup,
-             const RouteRequest& aRequest,
-             TimePoint aNow,
-             double& aExpectedMs)
+Router::PickBest(VersionGroup& aGroup,
+                 const RouteRequest& aRequest,
+                 TimePoint aNow,
+                 double& aExpectedMs)
 {
   Engine* best = nullptr;
   const auto weigh = [&](Engine* aEngine, bool aCached) {
-    if (!this->Usable(*aEngine, aRequest, aNow)) {
+    if (!this->CanAccept(*aEngine, aRequest, aNow)) {
       return;
     }
     const double expected = this->ExpectedMs(*aEngine, aRequest, aCached);
@@ -227,24 +230,26 @@
   }
   const auto queues = [&] {
     return best == nullptr ||
-           best->Load(static_cast<double>(this->daemons)) + 1 >
+           best->EstimatedLoad(static_cast<double>(this->daemonCount)) + 1 >
              static_cast<double>(best->report.slots);
   };
   for (std::size_t i = 0;
-       i < kRandomCandidates || (queues() && i < kMostRandomCandidates);
+       i < kRandomCandidates || (queues() && i < kMaxRandomCandidates);
        ++i) {
-    weigh(aGroup.engines[this->random.Below(aGroup.engines.size())], false);
+    weigh(aGroup.engines[this->random.NextBelow(aGroup.engines.size())], false);
   }
   return best;
 }
 
 Engine*
-Router::Baseline(Group& aGroup, const RouteRequest& aRequest, TimePoint aNow)
+Router::PickBaseline(VersionGroup& aGroup,
+                     const RouteRequest& aRequest,
+                     TimePoint aNow)
 {
   if (this->policy == RoutingPolicy::eLeastOutstanding) {
     Engine* best = nullptr;
     for (Engine* engine : aGroup.engines) {
-      if (this->Usable(*engine, aRequest, aNow) &&
+      if (this->CanAccept(*engine, aRequest, aNow) &&
           (best == nullptr || engine->inFlight < best->inFlight)) {
         best = engine;
       }
@@ -252,11 +257,11 @@
     return best;
   }
   const std::size_t start = this->policy == RoutingPolicy::eRandom
-                              ? this->random.Below(aGroup.engines.size())
-                              : aGroup.turn++;
+                              ? this->random.NextBelow(aGroup.engines.size())
+                              : aGroup.nextRoundRobin++;
   for (std::size_t i = 0; i < aGroup.engines.size(); ++i) {
     Engine* engine = aGroup.engines[(start + i) % aGroup.engines.size()];
-    if (this->Usable(*engine, aRequest, aNow)) {
+    if (this->CanAccept(*engine, aRequest, aNow)) {
       return engine;
     }
   }
@@ -264,13 +269,15 @@
 }
 
 Engine*
-Router::AnyUsable(Group& aGroup, const RouteRequest& aRequest, TimePoint aNow)
+Router::PickAny(VersionGroup& aGroup,
+                const RouteRequest& aRequest,
+                TimePoint aNow)
 {
-  const std::size_t start = this->random.Below(aGroup.engines.size());
-  const std::size_t tries = std::min(aGroup.engines.size(), kMostTried);
+  const std::size_t start = this->random.NextBelow(aGroup.engines.size());
+  const std::size_t tries = std::min(aGroup.engines.size(), kMaxScannedEngines);
   for (std::size_t i = 0; i < tries; ++i) {
     Engine* engine = aGroup.engines[(start + i) % aGroup.engines.size()];
-    if (this->Usable(*engine, aRequest, aNow)) {
+    if (this->CanAccept(*engine, aRequest, aNow)) {
       return engine;
     }
   }
@@ -278,16 +285,16 @@
 }
 
 EngineChoice
-Router::Take(Engine& aEngine, double aExpectedMs)
+Router::TakeSlot(Engine& aEngine, double aExpectedMs)
 {
   ++aEngine.inFlight;
-  ++aEngine.freshInFlight;
+  ++aEngine.inFlightSinceReport;
   return EngineChoice{ aEngine.report.id,
                        aEngine.report.incarnation,
                        aEngine.report.address,
                        aEngine.report.version,
                        aExpectedMs,
-                       aEngine.reports };
+                       aEngine.reportCount };
 }
 
 std::optional<EngineChoice>
@@ -297,16 +304,16 @@
   if (found == this->groups.end()) {
     return std::nullopt;
   }
-  Group& group = found->second;
+  VersionGroup& group = found->second;
   double expected = 0;
   Engine* engine = nullptr;
   if (this->policy == RoutingPolicy::eExpectedFirstToken) {
-    engine = this->Best(group, aRequest, aNow, expected);
+    engine = this->PickBest(group, aRequest, aNow, expected);
     if (engine == nullptr) {
-      engine = this->AnyUsable(group, aRequest, aNow);
+      engine = this->PickAny(group, aRequest, aNow);
     }
   } else {
-    engine = this->Baseline(group, aRequest, aNow);
+    engine = this->PickBaseline(group, aRequest, aNow);
   }
   if (engine == nullptr) {
     return std::nullopt;
@@ -314,54 +321,55 @@
   if (expected == 0) {
     expected = this->ExpectedMs(*engine, aRequest, false);
   }
-  return Take(*engine, expected);
+  return TakeSlot(*engine, expected);
 }
 
 std::optional<EngineChoice>
-Router::PickLife(const std::string& aLife, TimePoint aNow)
+Router::PickIncarnation(const std::string& aLife, TimePoint aNow)
 {
   Engine* engine = this->FindEngine(aLife);
   if (engine == nullptr || engine->report.leaving || engine->downUntil > aNow) {
     return std::nullopt;
   }
-  return Take(*engine, 0);
+  return TakeSlot(*engine, 0);
 }
 
 void
-Router::Finish(const EngineChoice& aChoice, const EngineEnding& aEnding)
+Router::Finish(const EngineChoice& aChoice, const EngineResult& aEnding)
 {
-  Engine* engine = this->FindEngine(aChoice.Life());
+  Engine* engine = this->FindEngine(aChoice.IncarnationKey());
   if (engine == nullptr) {
     return;
   }
   engine->inFlight -= engine->inFlight > 0 ? 1 : 0;
-  if (aChoice.report == engine->reports) {
-    --engine->freshInFlight;
+  if (aChoice.reportNumber == engine->reportCount) {
+    --engine->inFlightSinceReport;
   } else {
-    ++engine->ended;
+    ++engine->endedSinceReport;
   }
-  if (aEnding.answered) {
+  if (aEnding.completed) {
     engine->meanServiceMs +=
-      kNewWeight * (aEnding.totalMs - engine->meanServiceMs);
+      kSmoothingFactor * (aEnding.totalMs - engine->meanServiceMs);
   }
   if (aEnding.firstTokenMs < 0) {
-    engine->limit.Late();
+    engine->concurrencyLimit.RecordLate();
     return;
   }
   if (aChoice.expectedFirstTokenMs > 0) {
     const double ratio = aEnding.firstTokenMs / aChoice.expectedFirstTokenMs;
     engine->slowness +=
-      kNewWeight * (ratio * engine->slowness - engine->slowness);
-    engine->slowness = std::clamp(engine->slowness, 1.0, kMostSlowness);
+      kSmoothingFactor * (ratio * engine->slowness - engine->slowness);
+    engine->slowness = std::clamp(engine->slowness, 1.0, kMaxSlowness);
     const bool late = ratio > 2 && aEnding.firstTokenMs > 100;
-    late ? engine->limit.Late() : engine->limit.OnTime();
+    late ? engine->concurrencyLimit.RecordLate()
+         : engine->concurrencyLimit.RecordOnTime();
   }
 }
 
 std::vector<std::string>
-Router::UsableLives(const ServiceId& aService,
-                    const VersionId& aVersion,
-                    TimePoint aNow) const
+Router::AvailableIncarnations(const ServiceId& aService,
+                              const VersionId& aVersion,
+                              TimePoint aNow) const
 {
   std::vector<std::string> lives;
   const auto found = this->groups.find({ aService, aVersion });
@@ -370,18 +378,18 @@
   }
   for (const Engine* engine : found->second.engines) {
     if (!engine->report.leaving && engine->downUntil <= aNow) {
-      lives.push_back(LifeOf(engine->report));
+      lives.push_back(IncarnationKeyOf(engine->report));
     }
   }
   return lives;
 }
 
-Router::Supply
-Router::SupplyOf(const ServiceId& aService,
-                 const VersionId& aVersion,
-                 TimePoint aNow) const
+Router::VersionCapacity
+Router::CapacityOf(const ServiceId& aService,
+                   const VersionId& aVersion,
+                   TimePoint aNow) const
 {
-  Supply supply;
+  VersionCapacity supply;
   const auto found = this->groups.find({ aService, aVersion });
   if (found == this->groups.end()) {
     return supply;
--- a/src/coord/Router.h
+++ b/src/coord/Router.h
@@ -36,8 +36,8 @@
   std::uint64_t prefixHash = 0;   // 0: nothing worth caching
   std::uint64_t prefixTokens = 0; // tokens of that prefix
   std::uint64_t promptTokens = 0; // tokens of the whole prompt
-  std::set<std::string> avoid;    // lives already tried
-  double leaveFree = 0;           // slots that must stay free on the engine
+  std::set<std::string> excluded; // lives already tried
+  double reservedSlots = 0;       // slots that must stay free on the engine
 };
 
 /** A place taken on a back end; given back through Finish. */
@@ -48,18 +48,18 @@
   std::string address;
   VersionId version;
   double expectedFirstTokenMs = 0;
-  std::uint64_t report = 0; // the engine's report that it was chosen by
+  std::uint64_t reportNumber = 0; // the engine's report that it was chosen by
 
-  [[nodiscard]] std::string Life() const
+  [[nodiscard]] std::string IncarnationKey() const
   {
     return this->id.value + "/" + this->incarnation;
   }
 };
 
 /** How a request on a back end ended. */
-struct EngineEnding
+struct EngineResult
 {
-  bool answered = false;
+  bool completed = false;
   double firstTokenMs = -1; // below zero: none came
   double totalMs = 0;
 };
@@ -98,27 +98,28 @@
   std::optional<EngineChoice> Pick(const RouteRequest& aRequest,
                                    TimePoint aNow);
   /** Takes a place on this very life, unless it is gone. */
-  std::optional<EngineChoice> PickLife(const std::string& aLife,
-                                       TimePoint aNow);
-  void Finish(const EngineChoice& aChoice, const EngineEnding& aEnding);
+  std::optional<EngineChoice> PickIncarnation(const std::string& aLife,
+                                              TimePoint aNow);
+  void Finish(const EngineChoice& aChoice, const EngineResult& aEnding);
 
   /** What the back ends of a version that can be chosen have and report. */
-  struct Supply
+  struct VersionCapacity
   {
     double slots = 0;
     double waiting = 0;
   };
-  [[nodiscard]] Supply SupplyOf(const ServiceId& aService,
-                                const VersionId& aVersion,
-                                TimePoint aNow) const;
-  [[nodiscard]] const Engine* FindLife(const std::string& aLife) const;
+  [[nodiscard]] VersionCapacity CapacityOf(const ServiceId& aService,
+                                           const VersionId& aVersion,
+                                           TimePoint aNow) const;
+  [[nodiscard]] const Engine* FindIncarnation(const std::string& aLife) const;
   /** Lives of a service's version that can be chosen, in id order. */
-  [[nodiscard]] std::vector<std::string> UsableLives(const ServiceId& aService,
-                                                     const VersionId& aVersion,
-                                                     TimePoint aNow) const;
+  [[nodiscard]] std::vector<std::string> AvailableIncarnations(
+    const ServiceId& aService,
+    const VersionId& aVersion,
+    TimePoint aNow) const;
   [[nodiscard]] std::vector<EngineReport> Reports() const;
   /** Among how many daemons the engines are shared. */
-  void SetDaemons(std::size_t aCount);
+  void SetDaemonCount(std::size_t aCount);
 
 private:
   struct RingPoint
@@ -127,39 +128,41 @@
     InstanceId id;
     Engine* engine = nullptr;
   };
-  struct Group
+  struct VersionGroup
   {
     std::vector<Engine*> engines;
     std::vector<RingPoint> ring;
-    std::size_t turn = 0;
+    std::size_t nextRoundRobin = 0;
   };
   using GroupKey = std::pair<ServiceId, VersionId>;
 
-  void Regroup();
+  void RebuildGroups();
   Engine* FindEngine(const std::string& aLife);
-  [[nodiscard]] bool Usable(const Engine& aEngine,
-                            const RouteRequest& aRequest,
-                            TimePoint aNow) const;
+  [[nodiscard]] bool CanAccept(const Engine& aEngine,
+                               const RouteRequest& aRequest,
+                               TimePoint aNow) const;
   [[nodiscard]] double ExpectedMs(const Engine& aEngine,
                                   const RouteRequest& aRequest,
                                   bool aCached) const;
-  Engine* Best(Group& aGroup,
-               const RouteRequest& aRequest,
-               TimePoint aNow,
-               double& aExpectedMs);
-  Engine* Baseline(Group& aGroup, const RouteRequest& aRequest, TimePoint aNow);
-  Engine* AnyUsable(Group& aGroup,
-                    const RouteRequest& aRequest,
-                    TimePoint aNow);
-  static EngineChoice Take(Engine& aEngine, double aExpectedMs);
-  [[nodiscard]] double MostInFlight(const EngineReport& aReport) const;
+  Engine* PickBest(VersionGroup& aGroup,
+                   const RouteRequest& aRequest,
+                   TimePoint aNow,
+                   double& aExpectedMs);
+  Engine* PickBaseline(VersionGroup& aGroup,
+                       const RouteRequest& aRequest,
+                       TimePoint aNow);
+  Engine* PickAny(VersionGroup& aGroup,
+                  const RouteRequest& aRequest,
+                  TimePoint aNow);
+  static EngineChoice TakeSlot(Engine& aEngine, double aExpectedMs);
+  [[nodiscard]] double MaxInFlight(const EngineReport& aReport) const;
 
   Random random;
   RoutingPolicy policy;
   std::map<InstanceId, std::unique_ptr<Engine>> engines;
-  std::map<GroupKey, Group> groups;
+  std::map<GroupKey, VersionGroup> groups;
   std::set<std::string> reserved;
-  std::size_t daemons = 1;
+  std::size_t daemonCount = 1;
 };
 
 } // namespace toucanshed
--- a/src/coord/ScalePlanner.cpp
+++ b/src/coord/ScalePlanner.cpp
@@ -11,18 +11,18 @@
 /** On-demand engines kept beside the reclaimable ones, as a part of the
  * engines that are needed: what still serves the most urgent requests if all
  * reclaimable engines go at once. */
-constexpr double kOnDemandPart = 0.25;
+constexpr double kOnDemandRatio = 0.25;
 /** Reclaimable engines for each needed one. With four failure domains this
  * leaves more than are needed when one is reclaimed, and with the on-demand
  * ones as many when two are. */
-constexpr double kReclaimablePart = 1.6;
+constexpr double kReclaimableRatio = 1.6;
 /** Engines of a new version that are kept, for each needed one: all traffic
  * comes to them at once, and demand may have risen until then. */
-constexpr double kArrivingPart = 1.25;
+constexpr double kNewVersionRatio = 1.25;
 /** From a reclaim's notice to the answer to an order that it leads to. */
-constexpr Millis kOrderTime{ 1000 };
+constexpr Millis kOrderLatency{ 1000 };
 /** An order is given again after this long if its engines have not come. */
-constexpr Millis kOrderAgain{ 9000 };
+constexpr Millis kOrderRetryInterval{ 9000 };
 
 std::vector<ZoneId>
 ZonesByPrice(const ScaleBounds& aBounds)
@@ -42,7 +42,9 @@
 
 /** Spreads a number over zones, the first ones take the rest. */
 std::map<ZoneId, unsigned>
-Spread(unsigned aTotal, const std::vector<ZoneId>& aZones, unsigned aMost)
+SpreadOverZones(unsigned aTotal,
+                const std::vector<ZoneId>& aZones,
+                unsigned aMost)
 {
   std::map<ZoneId, unsigned> parts;
   for (std::size_t i = 0; i < aZones.size(); ++i) {
@@ -55,56 +57,59 @@
 
 } // namespace
 
-EngineNeed
-ScalePlanner::NeedOf(const ServiceDemand& aDemand, const EngineTraits& aTraits)
+RequiredEngines
+ScalePlanner::RequiredFor(const ServiceDemand& aDemand,
+                          const EngineTraits& aTraits)
 {
   constexpr double kMillis = 1000;
   const double reading =
-    aDemand.promptTokensPerS / (aDemand.promptTokensPerMs * kMillis);
-  const double places = aDemand.running / std::max(1U, aTraits.slots);
-  return EngineNeed{ reading / kPlannedReading, places / kPlannedPlaces };
+    aDemand.promptTokensPerS / (aDemand.prefillTokensPerMs * kMillis);
+  const double places = aDemand.runningRequests / std::max(1U, aTraits.slots);
+  return RequiredEngines{ reading / kTargetPrefillUtilization,
+                          places / kTargetSlotUtilization };
 }
 
 double
-ScalePlanner::LostToNeed(const std::vector<RequestRate>& aNamed,
-                         RequestRate aUsual)
+ScalePlanner::LostToRateLimits(const std::vector<RequestRate>& aNamed,
+                               RequestRate aUsual)
 {
   double lost = 0;
   for (const RequestRate& named : aNamed) {
-    const bool less = named.perS < aUsual.perS;
-    lost += less ? 1 - named.perS / aUsual.perS : 0;
+    const bool less = named.perSecond < aUsual.perSecond;
+    lost += less ? 1 - named.perSecond / aUsual.perSecond : 0;
   }
   return lost;
 }
 
 void
 ScalePlanner::CountEngine(const Backend& aBackend,
-                          const VersionMove* aMove,
-                          Counts& aZone)
+                          const Rollout* aMove,
+                          EngineCounts& aZone)
 {
   const bool fresh =
     aMove != nullptr && aBackend.entry.version == aMove->order.target;
-  const bool ended = aMove != nullptr && aMove->stage != MoveStage::eActive;
-  const bool stops = ended && fresh != (aMove->stage == MoveStage::eCompleted);
+  const bool ended = aMove != nullptr && aMove->phase != RolloutPhase::eActive;
+  const bool stops =
+    ended && fresh != (aMove->phase == RolloutPhase::eCompleted);
   if (stops) {
     return; // it is stopped, whatever the list still says
   }
   if (aBackend.leaving) {
-    aZone.reclaimed += aBackend.entry.reclaimable ? 1 : 0;
+    aZone.leavingReclaimable += aBackend.entry.reclaimable ? 1 : 0;
     return;
   }
   const bool arrives = fresh && !ended;
   if (aBackend.entry.reclaimable) {
-    ++(arrives ? aZone.arrivingReclaimable : aZone.reclaimable);
+    ++(arrives ? aZone.newVersionReclaimable : aZone.reclaimable);
   } else {
-    ++(arrives ? aZone.arrivingOnDemand : aZone.onDemand);
+    ++(arrives ? aZone.newVersionOnDemand : aZone.onDemand);
   }
 }
 
 ScalePlanner::ZoneCounts
 ScalePlanner::CountEngines(const ServiceId& aService,
                            const BackendTable& aBackends,
-                           const VersionMove* aMove)
+                           const Rollout* aMove)
 {
   ZoneCounts counts;
   for (const auto& [id, backend] : aBackends.All()) {
@@ -116,30 +121,30 @@
 }
 
 std::map<ZoneId, unsigned>
-ScalePlanner::KeptArriving(double aNeeded, const ZoneCounts& aPresent)
+ScalePlanner::NewVersionToKeep(double aNeeded, const ZoneCounts& aPresent)
 {
   unsigned arriving = 0;
   for (const auto& [zone, counts] : aPresent) {
-    arriving += counts.arrivingOnDemand;
+    arriving += counts.newVersionOnDemand;
   }
   std::map<ZoneId, unsigned> kept;
   if (arriving == 0) {
     return kept;
   }
-  const double part = std::min(1.0, kArrivingPart * aNeeded / arriving);
+  const double part = std::min(1.0, kNewVersionRatio * aNeeded / arriving);
   for (const auto& [zone, counts] : aPresent) {
     kept[zone] =
-      static_cast<unsigned>(std::ceil(part * counts.arrivingOnDemand));
+      static_cast<unsigned>(std::ceil(part * counts.newVersionOnDemand));
   }
   return kept;
 }
 
 void
-ScalePlanner::Want(const EngineGroup& aGroup,
-                   unsigned aDesired,
-                   unsigned aPresent,
-                   TimePoint aNow,
-                   std::vector<GroupOrder>& aOrders)
+ScalePlanner::OrderIfNeeded(const EngineGroup& aGroup,
+                            unsigned aDesired,
+                            unsigned aPresent,
+                            TimePoint aNow,
+                            std::vector<GroupTarget>& aOrders)
 {
   GroupState& state = this->groups[aGroup];
   const bool pausing = aGroup.reclaimable && aDesired > aPresent &&
@@ -148,86 +153,86 @@
     return;
   }
   const bool standing = state.ordered && *state.ordered == aDesired;
-  const bool waiting = aNow - state.orderedAt < kOrderAgain;
+  const bool waiting = aNow - state.orderedAt < kOrderRetryInterval;
   if (standing && (aPresent == aDesired || waiting)) {
     return;
   }
   if (!state.ordered && aPresent == aDesired) {
     return;
   }
-  aOrders.push_back(GroupOrder{ aGroup, aDesired });
+  aOrders.push_back(GroupTarget{ aGroup, aDesired });
 }
 
 bool
-ScalePlanner::StillAppearing(const ServiceId& aService,
-                             unsigned aPresent,
-                             TimePoint aNow)
+ScalePlanner::UpdateDiscovery(const ServiceId& aService,
+                              unsigned aPresent,
+                              TimePoint aNow)
 {
   ServiceState& state = this->services[aService];
   if (state.firstSeen.ms == 0) {
     state.firstSeen = aNow;
   }
-  const bool more = !state.hasOrders && aPresent > state.firstEngines;
+  const bool more = !state.hasOrders && aPresent > state.initialEngines;
   if (more) {
-    state.firstEngines = aPresent;
-    state.grewAt = aNow;
+    state.initialEngines = aPresent;
+    state.lastGrowthAt = aNow;
   }
-  return !state.hasOrders && aNow - state.grewAt < kAppearing;
+  return !state.hasOrders && aNow - state.lastGrowthAt < kDiscoveryTime;
 }
 
 bool
-ScalePlanner::StillArriving(const ServiceId& aService,
-                            const VersionMove* aMove,
-                            const ZoneCounts& aPresent,
-                            TimePoint aNow)
+ScalePlanner::UpdateNewVersion(const ServiceId& aService,
+                               const Rollout* aMove,
+                               const ZoneCounts& aPresent,
+                               TimePoint aNow)
 {
-  if (aMove == nullptr || aMove->stage != MoveStage::eActive) {
+  if (aMove == nullptr || aMove->phase != RolloutPhase::eActive) {
     return false;
   }
   ServiceState& state = this->services[aService];
-  if (state.move != aMove->order.position) {
-    state.move = aMove->order.position;
-    state.mostArriving = 0;
-    state.arrivedAt = aNow;
+  if (state.rolloutPosition != aMove->order.position) {
+    state.rolloutPosition = aMove->order.position;
+    state.maxNewVersion = 0;
+    state.newVersionGrowthAt = aNow;
   }
   unsigned arriving = 0;
   for (const auto& [zone, counts] : aPresent) {
-    arriving += counts.arrivingOnDemand + counts.arrivingReclaimable;
+    arriving += counts.newVersionOnDemand + counts.newVersionReclaimable;
   }
-  if (arriving > state.mostArriving) {
-    state.mostArriving = arriving;
-    state.arrivedAt = aNow;
+  if (arriving > state.maxNewVersion) {
+    state.maxNewVersion = arriving;
+    state.newVersionGrowthAt = aNow;
   }
-  return aNow - state.arrivedAt < kAppearing;
+  return aNow - state.newVersionGrowthAt < kDiscoveryTime;
 }
 
 double
-ScalePlanner::NeededNow(const ServiceSpec& aService,
-                        double aNeeded,
-                        TimePoint aNow)
+ScalePlanner::RequiredNow(const ServiceSpec& aService,
+                          double aNeeded,
+                          TimePoint aNow)
 {
   constexpr double kLeast = 2;
   ServiceState& state = this->services[aService.id];
-  const bool fresh = aNow - state.firstSeen < kFirstTime;
-  const double first = fresh ? kFirstPart * state.firstEngines : 0;
-  return std::max({ aNeeded, first, kLeast }) + state.lost;
+  const bool fresh = aNow - state.firstSeen < kInitialPeriod;
+  const double first = fresh ? kInitialShare * state.initialEngines : 0;
+  return std::max({ aNeeded, first, kLeast }) + state.lostEngines;
 }
 
 void
-ScalePlanner::WatchReclaims(const ServiceId& aService,
-                            const ZoneCounts& aPresent,
-                            TimePoint aNow)
+ScalePlanner::UpdateReclaims(const ServiceId& aService,
+                             const ZoneCounts& aPresent,
+                             TimePoint aNow)
 {
-  ReclaimWatch& reclaims = this->services[aService].reclaims;
+  ReclaimTracker& reclaims = this->services[aService].reclaimTracker;
   for (const auto& [zone, counts] : aPresent) {
-    reclaims.See(zone, counts.reclaimable, counts.reclaimed, aNow);
+    reclaims.Observe(zone, counts.reclaimable, counts.leavingReclaimable, aNow);
   }
 }
 
 double
-ScalePlanner::OnDemandAtRisk(double aNeeded,
-                             unsigned aReclaims,
-                             const ZoneCounts& aPresent)
+ScalePlanner::OnDemandForReclaims(double aNeeded,
+                                  unsigned aReclaims,
+                                  const ZoneCounts& aPresent)
 {
   if (aReclaims == 0) {
     return 0;
@@ -242,33 +247,33 @@
   // The smallest are taken to stay: the loss of the largest is to be borne.
   const double left = std::accumulate(
     domains.begin(), domains.begin() + static_cast<std::ptrdiff_t>(safe), 0.0);
-  return kSuffices * aNeeded - left;
+  return kSufficientShare * aNeeded - left;
 }
 
 void
-ScalePlanner::Watch(const ServiceId& aService,
-                    const BackendTable& aBackends,
-                    const VersionMove* aMove,
-                    TimePoint aNow)
+ScalePlanner::Observe(const ServiceId& aService,
+                      const BackendTable& aBackends,
+                      const Rollout* aMove,
+                      TimePoint aNow)
 {
   unsigned present = 0;
   const ZoneCounts zones = CountEngines(aService, aBackends, aMove);
   for (const auto& [zone, counts] : zones) {
     present += counts.reclaimable + counts.onDemand;
   }
-  this->WatchReclaims(aService, zones, aNow);
-  this->StillAppearing(aService, present, aNow);
-  this->StillArriving(aService, aMove, zones, aNow);
+  this->UpdateReclaims(aService, zones, aNow);
+  this->UpdateDiscovery(aService, present, aNow);
+  this->UpdateNewVersion(aService, aMove, zones, aNow);
 }
 
-std::vector<GroupOrder>
+std::vector<GroupTarget>
 ScalePlanner::Plan(const ServiceSpec& aService,
                    double aNeeded,
                    const BackendTable& aBackends,
-                   const VersionMove* aMove,
+                   const Rollout* aMove,
                    TimePoint aNow)
 {
-  std::vector<GroupOrder> orders;
+  std::vector<GroupTarget> orders;
   const ScaleBounds& bounds = *aService.scale;
   const std::vector<ZoneId> zones = ZonesByPrice(bounds);
   if (zones.empty()) {
@@ -281,53 +286,58 @@
     presentReclaimable += counts.reclaimable;
     presentAll += counts.reclaimable + counts.onDemand;
   }
-  if (this->StillAppearing(aService.id, presentAll, aNow)) {
+  if (this->UpdateDiscovery(aService.id, presentAll, aNow)) {
     return orders;
   }
-  const double needed = this->NeededNow(aService, aNeeded, aNow);
+  const double needed = this->RequiredNow(aService, aNeeded, aNow);
   const auto reclaimable = static_cast<unsigned>(std::max(
-    std::ceil(needed * kReclaimablePart), static_cast<double>(zones.size())));
-  auto onDemand = static_cast<unsigned>(std::ceil(needed * kOnDemandPart));
+    std::ceil(needed * kReclaimableRatio), static_cast<double>(zones.size())));
+  auto onDemand = static_cast<unsigned>(std::ceil(needed * kOnDemandRatio));
   // Until the reclaimable ones are there, what is missing of the needed
   // engines stays on demand.
   const auto missing = static_cast<unsigned>(
     std::max(0.0, std::ceil(needed - presentReclaimable - onDemand)));
   onDemand += missing;
-  this->WatchReclaims(aService.id, present, aNow);
+  this->UpdateReclaims(aService.id, present, aNow);
   // What is ordered at a reclaim has come after that long; reclaims that are
   // further apart are each made good before the next.
-  const Millis replacedWithin = bounds.bootTime + kOrderTime;
+  const Millis replacedWithin = bounds.bootTime + kOrderLatency;
   const unsigned reclaims =
-    this->services[aService.id].reclaims.Lately(replacedWithin, aNow);
-  const double atRisk = OnDemandAtRisk(needed, reclaims, present);
+    this->services[aService.id].reclaimTracker.CountWithin(replacedWithin,
+                                                           aNow);
+  const double atRisk = OnDemandForReclaims(needed, reclaims, present);
   onDemand =
     std::max(onDemand, static_cast<unsigned>(std::max(0.0, std::ceil(atRisk))));
-  const auto wantedReclaimable = Spread(reclaimable, zones, bounds.most - 1);
+  const auto wantedReclaimable =
+    SpreadOverZones(reclaimable, zones, bounds.maxEngines - 1);
   const auto wantedOnDemand =
-    Spread(onDemand, zones, std::max(1U, bounds.most / 2));
-  auto keptArriving = KeptArriving(needed, present);
-  const bool arriving = this->StillArriving(aService.id, aMove, present, aNow);
+    SpreadOverZones(onDemand, zones, std::max(1U, bounds.maxEngines / 2));
+  auto keptArriving = NewVersionToKeep(needed, present);
+  const bool arriving =
+    this->UpdateNewVersion(aService.id, aMove, present, aNow);
   for (const ZoneId& zone : zones) {
     const auto found = present.find(zone);
-    const Counts counts = found == present.end() ? Counts{} : found->second;
+    const EngineCounts counts =
+      found == present.end() ? EngineCounts{} : found->second;
     const EngineGroup cheap{ aService.id, zone, true };
     // The new version's engines count for what is ordered in a group.
-    this->Want(cheap,
-               wantedReclaimable.at(zone) + counts.arrivingReclaimable,
-               counts.reclaimable + counts.arrivingReclaimable,
-               aNow,
-               orders);
+    this->OrderIfNeeded(cheap,
+                        wantedReclaimable.at(zone) +
+                          counts.newVersionReclaimable,
+                        counts.reclaimable + counts.newVersionReclaimable,
+                        aNow,
+                        orders);
     const EngineGroup steady{ aService.id, zone, false };
     const unsigned desired = wantedOnDemand.at(zone);
     const bool shrinks = desired < counts.onDemand;
     const bool enough =
       presentAll - (shrinks ? counts.onDemand - desired : 0) >= needed;
     if (!arriving && (!shrinks || enough)) {
-      this->Want(steady,
-                 desired + keptArriving[zone],
-                 counts.onDemand + counts.arrivingOnDemand,
-                 aNow,
-                 orders);
+      this->OrderIfNeeded(steady,
+                          desired + keptArriving[zone],
+                          counts.onDemand + counts.newVersionOnDemand,
+                          aNow,
+                          orders);
       presentAll -= shrinks ? counts.onDemand - desired : 0;
     }
   }
@@ -335,7 +345,7 @@
 }
 
 void
-ScalePlanner::Accepted(const GroupOrder& aOrder, TimePoint aNow)
+ScalePlanner::RecordAccepted(const GroupTarget& aOrder, TimePoint aNow)
 {
   GroupState& state = this->groups[aOrder.group];
   state.ordered = aOrder.desired;
@@ -344,9 +354,9 @@
 }
 
 void
-ScalePlanner::Refused(const GroupOrder& aOrder, TimePoint aNow)
+ScalePlanner::RecordRefused(const GroupTarget& aOrder, TimePoint aNow)
 {
-  this->services[aOrder.group.service].refusedUntil = aNow + kRefusedPause;
+  this->services[aOrder.group.service].refusedUntil = aNow + kRefusalBackoff;
 }
 
 } // namespace toucanshed
--- a/src/coord/ScalePlanner.h
+++ b/src/coord/ScalePlanner.h
@@ -5,8 +5,8 @@
 
 #include "BackendTable.h"
 #include "Catalog.h"
-#include "ReclaimWatch.h"
-#include "VersionMoves.h"
+#include "ReclaimTracker.h"
+#include "Rollouts.h"
 #include "base/RequestRate.h"
 
 #include <algorithm>
@@ -28,7 +28,7 @@
 };
 
 /** How many engines a group should have. */
-struct GroupOrder
+struct GroupTarget
 {
   EngineGroup group;
   unsigned desired = 0;
@@ -37,22 +37,22 @@
 /** What a service's engines have to do now, all daemons together. */
 struct ServiceDemand
 {
-  double promptTokensPerS = 0;   // to be read
-  double running = 0;            // requests at the engines
-  double promptTokensPerMs = 40; // that an engine reads
+  double promptTokensPerS = 0;    // to be read
+  double runningRequests = 0;     // requests at the engines
+  double prefillTokensPerMs = 40; // that an engine reads
 };
 
 /** Engines that a demand needs, for each of what it takes of them. */
-struct EngineNeed
+struct RequiredEngines
 {
-  double reading = 0; // of prompts
+  double forPrefill = 0; // of prompts
   /** Of places for what runs. Where engines are missing, requests pile up in
    * them, and this grows beyond what the demand would need otherwise. */
-  double places = 0;
+  double forSlots = 0;
 
-  [[nodiscard]] double Most() const
+  [[nodiscard]] double Max() const
   {
-    return std::max(this->reading, this->places);
+    return std::max(this->forPrefill, this->forSlots);
   }
 };
 
@@ -79,68 +79,69 @@
   /** Part of an engine's reading time that may be planned for. Prompts arrive
    * in clumps; above about half, the first token of short requests waits behind
    * long ones. */
-  static constexpr double kPlannedReading = 0.45;
+  static constexpr double kTargetPrefillUtilization = 0.45;
   /** Part of an engine's places that may be planned for: each request beside
    * others slows all of them down. */
-  static constexpr double kPlannedPlaces = 0.3;
+  static constexpr double kTargetSlotUtilization = 0.3;
   /** Part of the needed engines that suffices for some seconds: they are needed
    * so that prompts rarely meet, and bear more while these wait for each other.
    */
-  static constexpr double kSuffices = 0.7;
+  static constexpr double kSufficientShare = 0.7;
   /** Time over which demand is remembered at its highest, so that a wave's
    * trough does not drain engines that its crest needs. */
-  static constexpr Millis kRemembered{ 30000 };
+  static constexpr Millis kDemandWindow{ 30000 };
   /** After a refusal none of its kind is asked for before: there are none to
    * be had in any failure domain then, and each call costs. */
-  static constexpr Millis kRefusedPause{ 2000 };
+  static constexpr Millis kRefusalBackoff{ 2000 };
   /** Of the engines that a service had when it was first seen, so many are
    * needed until its demand has been seen for a while: an operator has sized
    * it for a peak. */
-  static constexpr double kFirstPart = 0.55;
-  static constexpr Millis kFirstTime{ 25000 };
+  static constexpr double kInitialShare = 0.55;
+  static constexpr Millis kInitialPeriod{ 25000 };
   /** Nothing is ordered before a service's engines have ceased to appear in the
    * list for this long: heartbeats are up to two seconds apart, and a plan made
    * from the first few would give back engines that the traffic needs. The same
    * holds for on-demand engines while those of a new version appear. */
-  static constexpr Millis kAppearing{ 2500 };
+  static constexpr Millis kDiscoveryTime{ 2500 };
 
   /** Engines that bear the demand in calm. */
-  [[nodiscard]] static EngineNeed NeedOf(const ServiceDemand& aDemand,
-                                         const EngineTraits& aTraits);
+  [[nodiscard]] static RequiredEngines RequiredFor(const ServiceDemand& aDemand,
+                                                   const EngineTraits& aTraits);
 
   /** Engines whose work others must do, as they are in need and take less than
    * their part of the requests.
    * \param aNamed the rates that engines in need have named
    * \param aUsual what each engine gets of the requests when none is in need */
-  [[nodiscard]] static double LostToNeed(const std::vector<RequestRate>& aNamed,
-                                         RequestRate aUsual);
+  [[nodiscard]] static double LostToRateLimits(
+    const std::vector<RequestRate>& aNamed,
+    RequestRate aUsual);
 
   /** Sets how many engines the service must have beyond those that it needs, in
    * place of engines in need; not remembered, as these recover. */
-  void SetLost(const ServiceId& aService, double aLost)
+  void SetLostEngines(const ServiceId& aService, double aLost)
   {
-    this->services[aService].lost = aLost;
+    this->services[aService].lostEngines = aLost;
   }
 
   /** Notes which engines a service has, also while another daemon orders them,
    * so that one that takes over knows at once whether more may appear.
    * \param aMove of the service, the newest; null when there is none */
-  void Watch(const ServiceId& aService,
-             const BackendTable& aBackends,
-             const VersionMove* aMove,
-             TimePoint aNow);
+  void Observe(const ServiceId& aService,
+               const BackendTable& aBackends,
+               const Rollout* aMove,
+               TimePoint aNow);
   /** The orders that differ from what was ordered last.
    * \param aNeeded by NeedOf, the highest lately
    * \param aMove as for Watch */
-  std::vector<GroupOrder> Plan(const ServiceSpec& aService,
-                               double aNeeded,
-                               const BackendTable& aBackends,
-                               const VersionMove* aMove,
-                               TimePoint aNow);
+  std::vector<GroupTarget> Plan(const ServiceSpec& aService,
+                                double aNeeded,
+                                const BackendTable& aBackends,
+                                const Rollout* aMove,
+                                TimePoint aNow);
   /** The order was accepted. */
-  void Accepted(const GroupOrder& aOrder, TimePoint aNow);
+  void RecordAccepted(const GroupTarget& aOrder, TimePoint aNow);
   /** There are none to be had at the moment. */
-  void Refused(const GroupOrder& aOrder, TimePoint aNow);
+  void RecordRefused(const GroupTarget& aOrder, TimePoint aNow);
 
 private:
   struct GroupState
@@ -151,61 +152,64 @@
   /** What is known of a service as a whole. */
   struct ServiceState
   {
-    unsigned firstEngines = 0; // the most seen before anything was ordered
+    unsigned initialEngines = 0; // the most seen before anything was ordered
     TimePoint firstSeen;
-    TimePoint grewAt; // more engines were seen than before
+    TimePoint lastGrowthAt; // more engines were seen than before
     bool hasOrders = false;
-    double lost = 0;              // engines that others must stand in for
-    TimePoint refusedUntil;       // reclaimable ones
-    std::optional<Position> move; // the newest order to move it
-    unsigned mostArriving = 0;    // engines of its new version, seen at once
-    TimePoint arrivedAt;          // the order or more of them were seen
-    ReclaimWatch reclaims;
+    double lostEngines = 0; // engines that others must stand in for
+    TimePoint refusedUntil; // reclaimable ones
+    std::optional<Position> rolloutPosition; // the newest order to move it
+    unsigned maxNewVersion = 0;   // engines of its new version, seen at once
+    TimePoint newVersionGrowthAt; // the order or more of them were seen
+    ReclaimTracker reclaimTracker;
   };
-  struct Counts
+  struct EngineCounts
   {
     unsigned onDemand = 0;
     unsigned reclaimable = 0;
-    unsigned reclaimed = 0; // reclaimable ones that are leaving
+    unsigned leavingReclaimable = 0; // reclaimable ones that are leaving
     /** Of a new version, which a running move may yet take back. */
-    unsigned arrivingOnDemand = 0;
-    unsigned arrivingReclaimable = 0;
+    unsigned newVersionOnDemand = 0;
+    unsigned newVersionReclaimable = 0;
   };
 
-  using ZoneCounts = std::map<ZoneId, Counts>;
+  using ZoneCounts = std::map<ZoneId, EngineCounts>;
   static ZoneCounts CountEngines(const ServiceId& aService,
                                  const BackendTable& aBackends,
-                                 const VersionMove* aMove);
+                                 const Rollout* aMove);
   static void CountEngine(const Backend& aBackend,
-                          const VersionMove* aMove,
-                          Counts& aZone);
+                          const Rollout* aMove,
+                          EngineCounts& aZone);
   /** On-demand engines of the new version to keep in each failure domain. */
-  static std::map<ZoneId, unsigned> KeptArriving(double aNeeded,
-                                                 const ZoneCounts& aPresent);
+  static std::map<ZoneId, unsigned> NewVersionToKeep(
+    double aNeeded,
+    const ZoneCounts& aPresent);
   /** On-demand engines that a service must have lest too few engines are left
    * if as many failure domains are reclaimed again as were lately. */
-  static double OnDemandAtRisk(double aNeeded,
-                               unsigned aReclaims,
-                               const ZoneCounts& aPresent);
-  void Want(const EngineGroup& aGroup,
-            unsigned aDesired,
-            unsigned aPresent,
-            TimePoint aNow,
-            std::vector<GroupOrder>& aOrders);
-
-  void WatchReclaims(const ServiceId& aService,
-                     const ZoneCounts& aPresent,
-                     TimePoint aNow);
-  /** Notes how many engines there are. \return whether more may appear yet. */
-  bool StillAppearing(const ServiceId& aService,
-                      unsigned aPresent,
+  static double OnDemandForReclaims(double aNeeded,
+                                    unsigned aReclaims,
+                                    const ZoneCounts& aPresent);
+  void OrderIfNeeded(const EngineGroup& aGroup,
+                     unsigned aDesired,
+                     unsigned aPresent,
+                     TimePoint aNow,
+                     std::vector<GroupTarget>& aOrders);
+
+  void UpdateReclaims(const ServiceId& aService,
+                      const ZoneCounts& aPresent,
                       TimePoint aNow);
+  /** Notes how many engines there are. \return whether more may appear yet. */
+  bool UpdateDiscovery(const ServiceId& aService,
+                       unsigned aPresent,
+                       TimePoint aNow);
   /** Notes engines of a new version. \return whether more may appear yet. */
-  bool StillArriving(const ServiceId& aService,
-                     const VersionMove* aMove,
-                     const ZoneCounts& aPresent,
+  bool UpdateNewVersion(const ServiceId& aService,
+                        const Rollout* aMove,
+                        const ZoneCounts& aPresent,
+                        TimePoint aNow);
+  double RequiredNow(const ServiceSpec& aService,
+                     double aNeeded,
                      TimePoint aNow);
-  double NeededNow(const ServiceSpec& aService, double aNeeded, TimePoint aNow);
 
   std::map<EngineGroup, GroupState> groups;
   std::map<ServiceId, ServiceState> services;
--- a/src/coord/PlaceBudget.h
+++ b/src/coord/SlotBudget.h
@@ -30,7 +30,7 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class PlaceBudget
+class SlotBudget
 {
 public:
   /** What the engines of one service and version have and report.
@@ -39,36 +39,38 @@
   void Update(double aSlots, double aWaiting, double aDaemons);
   void SetWeight(const TeamId& aTeam, double aWeight);
 
-  [[nodiscard]] bool MayStart(const TeamId& aTeam, Urgency aUrgency) const;
+  [[nodiscard]] bool CanStart(const TeamId& aTeam, LatencyClass aUrgency) const;
   /** Slots that a request must leave free on its engine for others. */
-  [[nodiscard]] double LeaveFree(const TeamId& aTeam, Urgency aUrgency) const;
+  [[nodiscard]] double ReservedSlots(const TeamId& aTeam,
+                                     LatencyClass aUrgency) const;
   /** For the engine's own queue: 2 for quick help of a team within its share,
    * 1 beyond it, 0 for reports. */
-  [[nodiscard]] int PriorityOf(const TeamId& aTeam, Urgency aUrgency) const;
-  void Started(const TeamId& aTeam, Urgency aUrgency);
-  void Ended(const TeamId& aTeam, Urgency aUrgency);
+  [[nodiscard]] int PriorityOf(const TeamId& aTeam,
+                               LatencyClass aUrgency) const;
+  void RecordStart(const TeamId& aTeam, LatencyClass aUrgency);
+  void RecordEnd(const TeamId& aTeam, LatencyClass aUrgency);
 
   /** Places this daemon may fill now. */
-  [[nodiscard]] double Places() const;
+  [[nodiscard]] double SlotLimit() const;
   [[nodiscard]] std::uint64_t InFlight() const { return this->inFlight; }
 
   /** Part of the places that reports may fill. */
-  static constexpr double kReportPart = 0.5;
+  static constexpr double kBatchShare = 0.5;
   /** Part that teams beyond their share may fill. */
-  static constexpr double kOverSharePart = 0.8;
+  static constexpr double kOverFairShareLimit = 0.8;
   /** Slots left free on an engine by reports and by teams beyond their share.
    */
-  static constexpr double kLeftFree = 2;
+  static constexpr double kReservedSlots = 2;
 
 private:
-  [[nodiscard]] bool OverShare(const TeamId& aTeam) const;
+  [[nodiscard]] bool ExceedsFairShare(const TeamId& aTeam) const;
   [[nodiscard]] double WeightOf(const TeamId& aTeam) const;
 
-  double places = 1;
-  double factor = 1;
+  double baseSlots = 1;
+  double limitFactor = 1;
   std::uint64_t inFlight = 0;
-  std::uint64_t reportsInFlight = 0;
-  std::map<TeamId, std::uint64_t> quickByTeam;
+  std::uint64_t batchInFlight = 0;
+  std::map<TeamId, std::uint64_t> interactiveByTeam;
   std::map<TeamId, double> weights;
 };
 
--- a/src/coord/StoreOutage.cpp
+++ b/src/coord/StoreOutage.cpp
@@ -5,39 +5,41 @@
 namespace toucanshed {
 
 void
-StoreOutage::Answered(TimePoint aAt)
+StoreOutage::RecordSuccess(TimePoint aAt)
 {
-  if (this->answered && aAt <= *this->answered) {
+  if (this->lastSuccessAt && aAt <= *this->lastSuccessAt) {
     return;
   }
-  if (this->answered && aAt - *this->answered >= this->least) {
-    const bool failedHere = this->failed && *this->failed > *this->answered;
-    this->gap = Gap{ *this->answered, aAt, failedHere };
+  if (this->lastSuccessAt && aAt - *this->lastSuccessAt >= this->minOutage) {
+    const bool failedHere =
+      this->lastFailureAt && *this->lastFailureAt > *this->lastSuccessAt;
+    this->latestOutage = Outage{ *this->lastSuccessAt, aAt, failedHere };
   }
-  this->answered = aAt;
+  this->lastSuccessAt = aAt;
 }
 
 void
-StoreOutage::Failed(TimePoint aAt)
+StoreOutage::RecordFailure(TimePoint aAt)
 {
-  this->failed = std::max(this->failed.value_or(aAt), aAt);
+  this->lastFailureAt = std::max(this->lastFailureAt.value_or(aAt), aAt);
   // A call that is given up for silence is known to have failed only after
   // another daemon has told of the return.
-  const bool within = this->gap && aAt > this->gap->from && aAt < this->gap->to;
+  const bool within = this->latestOutage && aAt > this->latestOutage->from &&
+                      aAt < this->latestOutage->to;
   if (within) {
-    this->gap->failedHere = true;
+    this->latestOutage->failedLocally = true;
   }
 }
 
 std::optional<TimePoint>
-StoreOutage::UsedUntil(TimePoint aListed, TimePoint aNow) const
+StoreOutage::GraceUntil(TimePoint aListed, TimePoint aNow) const
 {
-  const bool lapsed =
-    this->gap && this->gap->failedHere && aListed < this->gap->to;
+  const bool lapsed = this->latestOutage && this->latestOutage->failedLocally &&
+                      aListed < this->latestOutage->to;
   if (!lapsed) {
     return std::nullopt;
   }
-  const TimePoint until = this->gap->to + kRelistTime;
+  const TimePoint until = this->latestOutage->to + kRelistGrace;
   return aNow < until ? std::optional(until) : std::nullopt;
 }
 
--- a/src/coord/StoreOutage.h
+++ b/src/coord/StoreOutage.h
@@ -27,40 +27,40 @@
 {
 public:
   /** Back ends that live are listed again within so long of the return. */
-  static constexpr Millis kRelistTime{ 2000 };
+  static constexpr Millis kRelistGrace{ 2000 };
 
   /** \param aRenewal back ends renew their entries this often. An entry lapses
    *   after three intervals, the first of which may have passed before the
    *   outage, so a shorter one than two of them lapses none. */
   explicit StoreOutage(Millis aRenewal)
-    : least(2 * aRenewal)
+    : minOutage(2 * aRenewal)
   {
   }
 
   /** The store answered a call, of this daemon or another, made at aAt. */
-  void Answered(TimePoint aAt);
+  void RecordSuccess(TimePoint aAt);
   /** A call of this daemon made at aAt failed. */
-  void Failed(TimePoint aAt);
+  void RecordFailure(TimePoint aAt);
 
   /** Until when a back end is used on whose entry is missing; nothing when it
    * is to be taken as gone.
    * \param aListed as of when its entry is known to have been there: one that
    *   was there after the return has not lapsed */
-  [[nodiscard]] std::optional<TimePoint> UsedUntil(TimePoint aListed,
-                                                   TimePoint aNow) const;
+  [[nodiscard]] std::optional<TimePoint> GraceUntil(TimePoint aListed,
+                                                    TimePoint aNow) const;
 
 private:
-  Millis least;
-  std::optional<TimePoint> answered; // the newest
-  std::optional<TimePoint> failed;   // the newest
+  Millis minOutage;
+  std::optional<TimePoint> lastSuccessAt; // the newest
+  std::optional<TimePoint> lastFailureAt; // the newest
   /** The newest time without an answer that was long enough. */
-  struct Gap
+  struct Outage
   {
     TimePoint from;
     TimePoint to;
-    bool failedHere = false;
+    bool failedLocally = false;
   };
-  std::optional<Gap> gap;
+  std::optional<Outage> latestOutage;
 };
 
 } // namespace toucanshed
--- a/src/coord/StoreReaders.h
+++ b/src/coord/StoreReaders.h
@@ -26,9 +26,9 @@
  * \param aStarting daemons that are listed and may be about to speak
  * Thread safety: pure function. */
 std::optional<std::size_t>
-ReaderPlace(const DaemonId& aSelf,
-            bool aReaches,
-            const std::vector<const serving::DaemonWord*>& aLive,
-            const std::vector<DaemonId>& aStarting);
+ReaderRank(const DaemonId& aSelf,
+           bool aReaches,
+           const std::vector<const serving::DaemonHeartbeat*>& aLive,
+           const std::vector<DaemonId>& aStarting);
 
 } // namespace toucanshed
--- a/src/coord/MoveTurns.h
+++ b/src/coord/StreamMigrationQueue.h
@@ -24,30 +24,30 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class MoveTurns
+class StreamMigrationQueue
 {
 public:
   /** Streams that move off one engine at the same time. */
-  static constexpr std::size_t kAtOnce = 4;
+  static constexpr std::size_t kMaxConcurrent = 4;
 
   /** Joins the line, or tells of more tokens. */
-  void Enter(const std::string& aLife,
-             const RequestId& aRequest,
-             std::uint64_t aTokens);
+  void AddOrUpdate(const std::string& aLife,
+                   const RequestId& aRequest,
+                   std::uint64_t aTokens);
   /** Whether its turn has come; from then on it holds one of the places. */
-  bool MayGo(const std::string& aLife, const RequestId& aRequest);
+  bool TryStart(const std::string& aLife, const RequestId& aRequest);
   /** It has moved or ended. */
-  void Leave(const std::string& aLife, const RequestId& aRequest);
+  void Remove(const std::string& aLife, const RequestId& aRequest);
 
 private:
   struct Stream
   {
     std::uint64_t tokens = 0;
-    bool going = false;
+    bool migrating = false;
   };
-  using Line = std::map<RequestId, Stream>;
+  using StreamMap = std::map<RequestId, Stream>;
 
-  std::map<std::string, Line> lines;
+  std::map<std::string, StreamMap> streamsByEngine;
 };
 
 } // namespace toucanshed
--- a/src/coord/SuspectTable.cpp
+++ b/src/coord/SuspectTable.cpp
@@ -13,7 +13,7 @@
 {
   return FactEntry{ std::string(kCrashPrefix) +
                       std::to_string(aFingerprint.value) + "/" + aEngineLife,
-                    aNow + kRemembered };
+                    aNow + kCrashRetention };
 }
 
 bool
@@ -32,15 +32,16 @@
     return SuspectLevel::eClear;
   }
   if (crashes == 1) {
-    return SuspectLevel::eWatched;
+    return SuspectLevel::eSerialized;
   }
-  return crashes < kMostCrashes ? SuspectLevel::eAlone : SuspectLevel::eGivenUp;
+  return crashes < kMaxCrashes ? SuspectLevel::eIsolated
+                               : SuspectLevel::eRejected;
 }
 
 FactEntry
-SuspectTable::AloneFact(Fingerprint aFingerprint,
-                        const std::string& aEngineLife,
-                        TimePoint aExpires)
+SuspectTable::IsolationFact(Fingerprint aFingerprint,
+                            const std::string& aEngineLife,
+                            TimePoint aExpires)
 {
   return FactEntry{
     "alone/" + aEngineLife + "/" + std::to_string(aFingerprint.value), aExpires
@@ -48,23 +49,23 @@
 }
 
 bool
-SuspectTable::ComesFirst(const FactSet& aFacts,
-                         Fingerprint aFingerprint,
-                         const std::string& aEngineLife)
+SuspectTable::HasIsolationPriority(const FactSet& aFacts,
+                                   Fingerprint aFingerprint,
+                                   const std::string& aEngineLife)
 {
-  const std::string own = AloneFact(aFingerprint, aEngineLife, {}).key;
+  const std::string own = IsolationFact(aFingerprint, aEngineLife, {}).key;
   const auto all = aFacts.WithPrefix("alone/" + aEngineLife + "/");
   return all.empty() || own <= all.front().key;
 }
 
 bool
-SuspectTable::TakePlace(Fingerprint aFingerprint)
+SuspectTable::TryStart(Fingerprint aFingerprint)
 {
   return this->running.insert(aFingerprint).second;
 }
 
 void
-SuspectTable::LeavePlace(Fingerprint aFingerprint)
+SuspectTable::RecordEnd(Fingerprint aFingerprint)
 {
   this->running.erase(aFingerprint);
 }
--- a/src/coord/SuspectTable.h
+++ b/src/coord/SuspectTable.h
@@ -17,10 +17,10 @@
 /** How a request may be run. */
 enum class SuspectLevel
 {
-  eClear,   // anywhere
-  eWatched, // anywhere, one at a time
-  eAlone,   // on an engine that runs nothing else
-  eGivenUp, // not at all
+  eClear,      // anywhere
+  eSerialized, // anywhere, one at a time
+  eIsolated,   // on an engine that runs nothing else
+  eRejected,   // not at all
 };
 
 /**
@@ -36,9 +36,9 @@
 {
 public:
   /** How long a crash is remembered after it happened. */
-  static constexpr Millis kRemembered{ 10 * 60 * 1000 };
+  static constexpr Millis kCrashRetention{ 10 * 60 * 1000 };
   /** Crashes after which a request is given up. */
-  static constexpr std::size_t kMostCrashes = 3;
+  static constexpr std::size_t kMaxCrashes = 3;
 
   /** The fact that aFingerprint was in flight on an engine that crashed. */
   static FactEntry CrashFact(Fingerprint aFingerprint,
@@ -51,20 +51,20 @@
   static SuspectLevel LevelOf(const FactSet& aFacts, Fingerprint aFingerprint);
 
   /** The fact that an engine's life is kept free for one request. */
-  static FactEntry AloneFact(Fingerprint aFingerprint,
-                             const std::string& aEngineLife,
-                             TimePoint aExpires);
+  static FactEntry IsolationFact(Fingerprint aFingerprint,
+                                 const std::string& aEngineLife,
+                                 TimePoint aExpires);
   /** Whether of those for whom this life is kept free, aFingerprint comes
    * first. Two suspects that ran beside each other would each be blamed for
    * the other's crash, and an innocent one given up. */
-  static bool ComesFirst(const FactSet& aFacts,
-                         Fingerprint aFingerprint,
-                         const std::string& aEngineLife);
+  static bool HasIsolationPriority(const FactSet& aFacts,
+                                   Fingerprint aFingerprint,
+                                   const std::string& aEngineLife);
 
   /** Takes the one place in which a watched or lone request may run.
    * \return false while another request with the fingerprint runs here. */
-  bool TakePlace(Fingerprint aFingerprint);
-  void LeavePlace(Fingerprint aFingerprint);
+  bool TryStart(Fingerprint aFingerprint);
+  void RecordEnd(Fingerprint aFingerprint);
 
 private:
   std::set<Fingerprint> running;
--- a/src/coord/TeamQuotas.cpp
+++ b/src/coord/TeamQuotas.cpp
@@ -17,80 +17,81 @@
 } // namespace
 
 void
-TeamQuotas::Fill(Bucket& aBucket, TimePoint aNow) const
+TeamQuotas::Refill(Bucket& aBucket, TimePoint aNow) const
 {
   const double gained =
-    this->part * aBucket.rate * Seconds(aNow - aBucket.filled);
-  const double most = std::max(aBucket.level, this->part * aBucket.burst);
+    this->reachableShare * aBucket.rate * Seconds(aNow - aBucket.refilledAt);
+  const double most =
+    std::max(aBucket.level, this->reachableShare * aBucket.burst);
   aBucket.level = std::min(aBucket.level + gained, most);
-  aBucket.filled = aNow;
+  aBucket.refilledAt = aNow;
 }
 
 void
-TeamQuotas::SetPart(double aPart, TimePoint aNow)
+TeamQuotas::SetReachableShare(double aPart, TimePoint aNow)
 {
-  if (aPart == this->part) {
+  if (aPart == this->reachableShare) {
     return;
   }
   for (auto& [team, bucket] : this->buckets) {
-    this->Fill(bucket, aNow);
+    this->Refill(bucket, aNow);
     // What stands for daemons that are not heard any more, they may give out.
     bucket.level = std::min(bucket.level, aPart * bucket.burst);
-    const bool more = !bucket.settled && aPart > this->part;
+    const bool more = !bucket.synced && aPart > this->reachableShare;
     if (more) {
-      bucket.level += (aPart - this->part) * FirstLevel(bucket);
+      bucket.level += (aPart - this->reachableShare) * InitialLevel(bucket);
     }
   }
-  this->part = aPart;
+  this->reachableShare = aPart;
 }
 
 void
-TeamQuotas::SetWordGap(Millis aGap, TimePoint aNow)
+TeamQuotas::SetReportInterval(Millis aGap, TimePoint aNow)
 {
-  if (aGap == this->wordGap) {
+  if (aGap == this->reportInterval) {
     return;
   }
-  this->wordGap = aGap;
+  this->reportInterval = aGap;
   for (auto& [team, bucket] : this->buckets) {
-    this->Fill(bucket, aNow);
-    this->Shape(bucket);
-    bucket.level = std::min(bucket.level, this->part * bucket.burst);
+    this->Refill(bucket, aNow);
+    this->UpdateRefill(bucket);
+    bucket.level = std::min(bucket.level, this->reachableShare * bucket.burst);
   }
 }
 
 double
-TeamQuotas::FreePart(const Bucket& aBucket) const
+TeamQuotas::UsableTolerance(const Bucket& aBucket) const
 {
-  if (aBucket.mayStray <= 0) {
+  if (aBucket.allowedOvershoot <= 0) {
     return 0;
   }
   const double unknown =
-    kUnknownPart * aBucket.teamRate * Seconds(this->wordGap);
-  return std::max(0.0, 1 - unknown / aBucket.mayStray);
+    kUnreportedShare * aBucket.limitRate * Seconds(this->reportInterval);
+  return std::max(0.0, 1 - unknown / aBucket.allowedOvershoot);
 }
 
 double
-TeamQuotas::Spared(const Bucket& aBucket, double aLeast) const
+TeamQuotas::PlannedOvershoot(const Bucket& aBucket, double aLeast) const
 {
   const double part =
-    std::clamp(this->FreePart(aBucket), aLeast, kMostTolerance);
-  return part * aBucket.mayStray;
+    std::clamp(this->UsableTolerance(aBucket), aLeast, kMaxTolerance);
+  return part * aBucket.allowedOvershoot;
 }
 
 void
-TeamQuotas::Shape(Bucket& aBucket) const
+TeamQuotas::UpdateRefill(Bucket& aBucket) const
 {
   const double asRefill =
-    kBurstAsRefill * this->FreePart(aBucket) * aBucket.teamBurst;
-  aBucket.rate = aBucket.teamRate + asRefill / Seconds(this->tolerance.window);
-  aBucket.burst =
-    aBucket.teamBurst - asRefill + this->Spared(aBucket, kLeastUsedTolerance);
+    kBurstAsRefill * this->UsableTolerance(aBucket) * aBucket.limitBurst;
+  aBucket.rate = aBucket.limitRate + asRefill / Seconds(this->tolerance.window);
+  aBucket.burst = aBucket.limitBurst - asRefill +
+                  this->PlannedOvershoot(aBucket, kMinUsedTolerance);
 }
 
 double
-TeamQuotas::FirstLevel(const Bucket& aBucket) const
+TeamQuotas::InitialLevel(const Bucket& aBucket) const
 {
-  return this->Spared(aBucket, kLeastFirstTolerance);
+  return this->PlannedOvershoot(aBucket, kMinInitialTolerance);
 }
 
 void
@@ -106,20 +107,20 @@
     Bucket bucket;
     if (known != this->buckets.end()) {
       bucket = known->second;
-      this->Fill(bucket, aNow);
+      this->Refill(bucket, aNow);
     }
-    bucket.teamRate = team.ratePerSecond;
-    bucket.teamBurst = team.burst;
-    bucket.mayStray = mayStray;
-    this->Shape(bucket);
+    bucket.limitRate = team.ratePerSecond;
+    bucket.limitBurst = team.burst;
+    bucket.allowedOvershoot = mayStray;
+    this->UpdateRefill(bucket);
     if (known == this->buckets.end()) {
       // A team that this daemon has seen come into being has used nothing yet.
-      bucket.settled = this->configured;
-      bucket.level = this->configured ? bucket.burst : FirstLevel(bucket);
-      bucket.filled = aNow;
-      bucket.made = aNow;
+      bucket.synced = this->configured;
+      bucket.level = this->configured ? bucket.burst : InitialLevel(bucket);
+      bucket.refilledAt = aNow;
+      bucket.createdAt = aNow;
     }
-    bucket.level = std::min(bucket.level, this->part * bucket.burst);
+    bucket.level = std::min(bucket.level, this->reachableShare * bucket.burst);
     next[team.id] = bucket;
   }
   this->buckets = std::move(next);
@@ -127,20 +128,21 @@
 }
 
 std::optional<Millis>
-TeamQuotas::Take(const Team& aTeam, double aCost, TimePoint aNow)
+TeamQuotas::TryTake(const Team& aTeam, double aCost, TimePoint aNow)
 {
   const auto found = this->buckets.find(aTeam.id);
   if (found == this->buckets.end() || aTeam.ratePerSecond <= 0) {
     return std::nullopt;
   }
   Bucket& bucket = found->second;
-  this->Fill(bucket, aNow);
+  this->Refill(bucket, aNow);
   // A request larger than half of the bucket could starve behind small ones;
   // it may use what is there, and the rest is refilled before the next one.
-  const double needed = std::min(aCost, this->part * bucket.burst / 2);
-  if (this->part > 0 && bucket.level >= needed) {
+  const double needed =
+    std::min(aCost, this->reachableShare * bucket.burst / 2);
+  if (this->reachableShare > 0 && bucket.level >= needed) {
     bucket.level -= aCost;
-    this->uses[aTeam.id].taken += aCost;
+    this->usage[aTeam.id].taken += aCost;
     return std::nullopt;
   }
   const double wait = (needed - bucket.level) / bucket.rate;
@@ -148,29 +150,29 @@
 }
 
 void
-TeamQuotas::TakenElsewhere(const TeamId& aTeam, double aCost, TimePoint aNow)
+TeamQuotas::AddRemoteUsage(const TeamId& aTeam, double aCost, TimePoint aNow)
 {
   const auto found = this->buckets.find(aTeam);
   if (found != this->buckets.end()) {
-    this->Fill(found->second, aNow);
+    this->Refill(found->second, aNow);
     found->second.level -= aCost;
   }
 }
 
 bool
-TeamQuotas::Settled(const Bucket& aBucket, TimePoint aNow) const
+TeamQuotas::IsSynced(const Bucket& aBucket, TimePoint aNow) const
 {
-  return aBucket.settled || aNow - aBucket.made >= this->tolerance.window;
+  return aBucket.synced || aNow - aBucket.createdAt >= this->tolerance.window;
 }
 
 std::vector<TeamId>
-TeamQuotas::Unsettled(TimePoint aNow) const
+TeamQuotas::UnsyncedTeams(TimePoint aNow) const
 {
   std::vector<TeamId> teams;
   const auto window = static_cast<double>(this->tolerance.window.count());
-  const Millis within(static_cast<std::int64_t>(kSettlesWithin * window));
+  const Millis within(static_cast<std::int64_t>(kSyncWindowShare * window));
   for (const auto& [team, bucket] : this->buckets) {
-    if (!bucket.settled && aNow - bucket.made < within) {
+    if (!bucket.synced && aNow - bucket.createdAt < within) {
       teams.push_back(team);
     }
   }
@@ -178,70 +180,70 @@
 }
 
 void
-TeamQuotas::Settle(const TeamId& aTeam, double aLevel, TimePoint aNow)
+TeamQuotas::SyncLevel(const TeamId& aTeam, double aLevel, TimePoint aNow)
 {
   const auto found = this->buckets.find(aTeam);
-  if (found == this->buckets.end() || this->Settled(found->second, aNow)) {
+  if (found == this->buckets.end() || this->IsSynced(found->second, aNow)) {
     return;
   }
   Bucket& bucket = found->second;
-  bucket.settled = true;
-  bucket.level =
-    std::min(aLevel - this->UseOf(aTeam).taken, this->part * bucket.burst);
-  bucket.filled = aNow;
+  bucket.synced = true;
+  bucket.level = std::min(aLevel - this->UsageOf(aTeam).taken,
+                          this->reachableShare * bucket.burst);
+  bucket.refilledAt = aNow;
 }
 
-TeamQuotas::Use
-TeamQuotas::UseOf(const TeamId& aTeam) const
+TeamQuotas::LocalUsage
+TeamQuotas::UsageOf(const TeamId& aTeam) const
 {
-  const auto found = this->uses.find(aTeam);
-  return found == this->uses.end() ? Use{} : found->second;
+  const auto found = this->usage.find(aTeam);
+  return found == this->usage.end() ? LocalUsage{} : found->second;
 }
 
-QuotaCopy
-TeamQuotas::CopyOf(const TeamId& aTeam,
-                   const Bucket& aBucket,
-                   TimePoint aNow) const
+QuotaState
+TeamQuotas::StateOf(const TeamId& aTeam,
+                    const Bucket& aBucket,
+                    TimePoint aNow) const
 {
-  QuotaCopy copy{ aTeam, this->UseOf(aTeam).taken, std::nullopt };
-  if (this->Settled(aBucket, aNow)) {
+  QuotaState copy{ aTeam, this->UsageOf(aTeam).taken, std::nullopt };
+  if (this->IsSynced(aBucket, aNow)) {
     copy.level = aBucket.level;
   }
   return copy;
 }
 
-std::vector<QuotaCopy>
-TeamQuotas::Copies(TimePoint aNow) const
+std::vector<QuotaState>
+TeamQuotas::BucketStates(TimePoint aNow) const
 {
-  std::vector<QuotaCopy> copies;
+  std::vector<QuotaState> copies;
   copies.reserve(this->buckets.size());
   for (const auto& [team, bucket] : this->buckets) {
-    copies.push_back(this->CopyOf(team, bucket, aNow));
+    copies.push_back(this->StateOf(team, bucket, aNow));
   }
   return copies;
 }
 
 bool
-TeamQuotas::MustTell(const TeamId& aTeam, std::size_t aDaemons) const
+TeamQuotas::MustReportNow(const TeamId& aTeam, std::size_t aDaemons) const
 {
   const auto found = this->buckets.find(aTeam);
   if (found == this->buckets.end()) {
     return false;
   }
   const Bucket& bucket = found->second;
-  const bool low = bucket.level < kLow * bucket.burst;
-  const double mayBeUntold =
-    kUntoldTolerance * bucket.mayStray / static_cast<double>(aDaemons);
-  const Use use = this->UseOf(aTeam);
-  return low && use.taken - use.told >= mayBeUntold;
+  const bool low = bucket.level < kLowLevel * bucket.burst;
+  const double mayBeUntold = kUnreportedTolerance * bucket.allowedOvershoot /
+                             static_cast<double>(aDaemons);
+  const LocalUsage use = this->UsageOf(aTeam);
+  return low && use.taken - use.reported >= mayBeUntold;
 }
 
-QuotaCopy
-TeamQuotas::Tell(const TeamId& aTeam, TimePoint aNow)
+QuotaState
+TeamQuotas::TakeReport(const TeamId& aTeam, TimePoint aNow)
 {
-  Use& use = this->uses[aTeam];
-  use.told = use.taken;
-  return this->CopyOf(aTeam, this->buckets.at(aTeam), aNow);
+  LocalUsage& use = this->usage[aTeam];
+  use.reported = use.taken;
+  return this->StateOf(aTeam, this->buckets.at(aTeam), aNow);
 }
 
 } // namespace toucanshed
--- a/src/coord/TeamQuotas.h
+++ b/src/coord/TeamQuotas.h
@@ -24,7 +24,7 @@
 };
 
 /** What other daemons need to know of one team's bucket here. */
-struct QuotaCopy
+struct QuotaState
 {
   TeamId team;
   double taken = 0;            // let through here since the start
@@ -62,26 +62,26 @@
   /** Part of what may be overshot that is given out on purpose, as burst, when
    * the other daemons' words are late; the rest is for the lag of the copies.
    */
-  static constexpr double kLeastUsedTolerance = 0.05;
+  static constexpr double kMinUsedTolerance = 0.05;
   /** The most of either, however soon words come. */
-  static constexpr double kMostTolerance = 0.5;
+  static constexpr double kMaxTolerance = 0.5;
   /** Part of a limit's refill between two words that other daemons may have
    * let through unknown here: what they let through is guessed meanwhile, and
    * told at once while a bucket runs low. */
-  static constexpr double kUnknownPart = 0.5;
+  static constexpr double kUnreportedShare = 0.5;
   /** Part of what may be overshot that all daemons together begin with, when
    * the other daemons' words are late. */
-  static constexpr double kLeastFirstTolerance = 0.25;
+  static constexpr double kMinInitialTolerance = 0.25;
   /** Part of what may be overshot that all daemons together may have let
    * through of a bucket that runs low without having told it. */
-  static constexpr double kUntoldTolerance = 0.25;
+  static constexpr double kUnreportedTolerance = 0.25;
   /** Part of the window after a start in which a told level is taken over.
    * Daemons that started together find out by themselves what was let through
    * since; the first of them to know for a whole window must not set back the
    * others. */
-  static constexpr double kSettlesWithin = 0.5;
+  static constexpr double kSyncWindowShare = 0.5;
   /** Part of its burst below which a bucket runs low. */
-  static constexpr double kLow = 0.5;
+  static constexpr double kLowLevel = 0.5;
 
   explicit TeamQuotas(QuotaTolerance aTolerance)
     : tolerance(aTolerance)
@@ -91,74 +91,79 @@
   /** Takes the limits in force. Teams that stay keep what they have used. */
   void Configure(const Catalog& aCatalog, TimePoint aNow);
   /** Gives out only aPart, in 0..1, of the limits from here on. */
-  void SetPart(double aPart, TimePoint aNow);
+  void SetReachableShare(double aPart, TimePoint aNow);
   /** How far the other daemons' words are apart. The later they come, the less
    * of what may be overshot is given out as burst. */
-  void SetWordGap(Millis aGap, TimePoint aNow);
+  void SetReportInterval(Millis aGap, TimePoint aNow);
 
   /** Takes aCost from the team's bucket.
    * \return how long to wait when there is too little left. */
-  std::optional<Millis> Take(const Team& aTeam, double aCost, TimePoint aNow);
+  std::optional<Millis> TryTake(const Team& aTeam,
+                                double aCost,
+                                TimePoint aNow);
   /** What another daemon has let through; negative to take back a guess. */
-  void TakenElsewhere(const TeamId& aTeam, double aCost, TimePoint aNow);
+  void AddRemoteUsage(const TeamId& aTeam, double aCost, TimePoint aNow);
 
   /** Teams whose buckets lack what was let through before the start, and may
    * still take it over. */
-  [[nodiscard]] std::vector<TeamId> Unsettled(TimePoint aNow) const;
+  [[nodiscard]] std::vector<TeamId> UnsyncedTeams(TimePoint aNow) const;
   /** Takes over the level that a daemon which knows it has told. */
-  void Settle(const TeamId& aTeam, double aLevel, TimePoint aNow);
+  void SyncLevel(const TeamId& aTeam, double aLevel, TimePoint aNow);
 
   /** All buckets as the other daemons need to know them. */
-  [[nodiscard]] std::vector<QuotaCopy> Copies(TimePoint aNow) const;
+  [[nodiscard]] std::vector<QuotaState> BucketStates(TimePoint aNow) const;
   /** Whether the other daemons must hear at once what was let through here.
    * \param aDaemons that share the limit, at least 1 */
-  [[nodiscard]] bool MustTell(const TeamId& aTeam, std::size_t aDaemons) const;
+  [[nodiscard]] bool MustReportNow(const TeamId& aTeam,
+                                   std::size_t aDaemons) const;
   /** They have been told. \return what they are to hear. */
-  QuotaCopy Tell(const TeamId& aTeam, TimePoint aNow);
+  QuotaState TakeReport(const TeamId& aTeam, TimePoint aNow);
 
 private:
   /** What was let through here since the start. */
-  struct Use
+  struct LocalUsage
   {
     double taken = 0;
-    double told = 0; // of it, at once
+    double reported = 0; // of it, at once
   };
 
   struct Bucket
   {
     double level = 0;
-    double teamRate = 0; // as the limit says, each second
-    double teamBurst = 0;
-    double mayStray = 0; // what may be let through beyond the limit in a window
-    double rate = 0;     // with the part of the burst
-    double burst = 0;    // without it, with the part of the tolerance
-    TimePoint filled;
-    TimePoint made;
-    bool settled = false;
+    double limitRate = 0; // as the limit says, each second
+    double limitBurst = 0;
+    double allowedOvershoot =
+      0;              // what may be let through beyond the limit in a window
+    double rate = 0;  // with the part of the burst
+    double burst = 0; // without it, with the part of the tolerance
+    TimePoint refilledAt;
+    TimePoint createdAt;
+    bool synced = false;
   };
 
-  [[nodiscard]] bool Settled(const Bucket& aBucket, TimePoint aNow) const;
+  [[nodiscard]] bool IsSynced(const Bucket& aBucket, TimePoint aNow) const;
   /** Part of what may be overshot, in 0..1, that need not be kept for what is
    * not known here of the others' use. */
-  [[nodiscard]] double FreePart(const Bucket& aBucket) const;
+  [[nodiscard]] double UsableTolerance(const Bucket& aBucket) const;
   /** What may be overshot on purpose, at least aLeast of all of it. */
-  [[nodiscard]] double Spared(const Bucket& aBucket, double aLeast) const;
-  [[nodiscard]] double FirstLevel(const Bucket& aBucket) const;
+  [[nodiscard]] double PlannedOvershoot(const Bucket& aBucket,
+                                        double aLeast) const;
+  [[nodiscard]] double InitialLevel(const Bucket& aBucket) const;
   /** Sets what follows from the limit and how late words come. */
-  void Shape(Bucket& aBucket) const;
-  [[nodiscard]] Use UseOf(const TeamId& aTeam) const;
-  [[nodiscard]] QuotaCopy CopyOf(const TeamId& aTeam,
-                                 const Bucket& aBucket,
-                                 TimePoint aNow) const;
-  void Fill(Bucket& aBucket, TimePoint aNow) const;
+  void UpdateRefill(Bucket& aBucket) const;
+  [[nodiscard]] LocalUsage UsageOf(const TeamId& aTeam) const;
+  [[nodiscard]] QuotaState StateOf(const TeamId& aTeam,
+                                   const Bucket& aBucket,
+                                   TimePoint aNow) const;
+  void Refill(Bucket& aBucket, TimePoint aNow) const;
 
   QuotaTolerance tolerance;
-  double part = 1;
-  Millis wordGap{ 0 };
+  double reachableShare = 1;
+  Millis reportInterval{ 0 };
   bool configured = false;
   std::map<TeamId, Bucket> buckets;
   /** Kept for teams that are gone too, as the other daemons keep them. */
-  std::map<TeamId, Use> uses;
+  std::map<TeamId, LocalUsage> usage;
 };
 
 } // namespace toucanshed
--- a/src/coord/TopicFreshness.h
+++ b/src/coord/TopicFreshness.h
@@ -21,17 +21,17 @@
 {
 public:
   /** The topic was read. \param aAsOf when the call was made. */
-  void Read(TimePoint aAsOf)
+  void RecordLocalRead(TimePoint aAsOf)
   {
     this->Extend(aAsOf);
-    if (this->contradicted && *this->contradicted <= aAsOf) {
-      this->contradicted.reset();
+    if (this->contradictedAt && *this->contradictedAt <= aAsOf) {
+      this->contradictedAt.reset();
     }
   }
   /** Another daemon has read it.
    * \param aAsOf when, by this daemon's clock
    * \param aSame whether it found what is here */
-  void Told(TimePoint aAsOf, bool aSame)
+  void RecordPeerRead(TimePoint aAsOf, bool aSame)
   {
     if (aSame) {
       this->Extend(aAsOf);
@@ -39,18 +39,22 @@
     }
     const bool newer = !this->asOf || aAsOf > *this->asOf;
     if (newer) {
-      this->contradicted = std::max(this->contradicted.value_or(aAsOf), aAsOf);
+      this->contradictedAt =
+        std::max(this->contradictedAt.value_or(aAsOf), aAsOf);
     }
   }
   /** Whether it must be read here.
    * \param aMost how old a copy may become */
-  [[nodiscard]] bool Due(TimePoint aNow, Millis aMost) const
+  [[nodiscard]] bool NeedsRead(TimePoint aNow, Millis aMost) const
   {
-    return this->Behind() || !this->asOf || aNow - *this->asOf >= aMost;
+    return this->IsBehind() || !this->asOf || aNow - *this->asOf >= aMost;
   }
 
   /** Somebody who has read it since holds something else than is here. */
-  [[nodiscard]] bool Behind() const { return this->contradicted.has_value(); }
+  [[nodiscard]] bool IsBehind() const
+  {
+    return this->contradictedAt.has_value();
+  }
   /** As of when the copy here is known to be current; nothing if never. */
   [[nodiscard]] std::optional<TimePoint> AsOf() const { return this->asOf; }
 
@@ -65,7 +69,7 @@
 
   std::optional<TimePoint> asOf;
   /** As of when another daemon found something else than was here. */
-  std::optional<TimePoint> contradicted;
+  std::optional<TimePoint> contradictedAt;
 };
 
 } // namespace toucanshed
--- a/src/coord/UsageWindows.h
+++ b/src/coord/UsageWindows.h
@@ -16,22 +16,22 @@
 public:
   /** Windows kept. A report is due within two windows of its end; one more is
    * kept for a holder that takes over late. */
-  static constexpr std::uint64_t kKept = 5;
+  static constexpr std::uint64_t kMaxWindows = 5;
 
   explicit UsageWindows(Millis aWindow)
-    : window(aWindow)
+    : windowLength(aWindow)
   {
   }
 
   /** The window that a moment of true time is in. */
   [[nodiscard]] std::uint64_t WindowAt(std::int64_t aTrueMs) const
   {
-    return static_cast<std::uint64_t>(aTrueMs / this->window.count());
+    return static_cast<std::uint64_t>(aTrueMs / this->windowLength.count());
   }
   /** When a window ends, in true time. */
-  [[nodiscard]] std::int64_t EndOf(std::uint64_t aWindow) const
+  [[nodiscard]] std::int64_t WindowEnd(std::uint64_t aWindow) const
   {
-    return static_cast<std::int64_t>(aWindow + 1) * this->window.count();
+    return static_cast<std::int64_t>(aWindow + 1) * this->windowLength.count();
   }
 
   void Count(const TeamId& aTeam, std::int64_t aTrueMs);
@@ -43,7 +43,7 @@
   }
 
 private:
-  Millis window;
+  Millis windowLength;
   std::map<std::uint64_t, Counts> windows;
 };
 
--- a/src/coord/VersionTest.cpp
+++ b/src/coord/VersionComparison.cpp
@@ -1,4 +1,4 @@
-#include "VersionTest.h"
+#include "VersionComparison.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,26 +8,26 @@
 
 namespace {
 
-struct Share
+struct Proportion
 {
   std::uint64_t hits = 0;
-  std::uint64_t all = 0;
+  std::uint64_t total = 0;
 };
 
 /** Least observations of the old version before it is a reference. */
-constexpr std::uint64_t kLeastReference = 20;
+constexpr std::uint64_t kMinReference = 20;
 /** Tests made per step and route: errors, two quantiles each of first token and
  * gap. */
 constexpr double kTestsPerStratum = 5;
-constexpr double kTypical = 0.5;
+constexpr double kMedian = 0.5;
 constexpr double kHigh = 0.9;
 
 /** Upper end of the 95 % Wilson interval of a share. */
 double
-UpperBound(const Share& aShare)
+UpperBound(const Proportion& aShare)
 {
   constexpr double kZ = 1.96;
-  const auto n = static_cast<double>(aShare.all);
+  const auto n = static_cast<double>(aShare.total);
   if (n == 0) {
     return 1;
   }
@@ -47,9 +47,9 @@
 /** Logarithm of the likelihood ratio of a uniform mixture against aReference;
  * zero unless the share seen lies above it. */
 double
-LogEvidence(const Share& aSeen, double aReference)
+LogLikelihoodRatio(const Proportion& aSeen, double aReference)
 {
-  const auto n = static_cast<double>(aSeen.all);
+  const auto n = static_cast<double>(aSeen.total);
   const auto k = static_cast<double>(aSeen.hits);
   if (n == 0 || aReference >= 1 || k / n <= aReference) {
     return 0;
@@ -60,33 +60,33 @@
   return mixture - reference;
 }
 
-Share
-ErrorsOf(const Tally& aTally)
+Proportion
+ErrorProportion(const Tally& aTally)
 {
-  return Share{ aTally.errors, aTally.requests };
+  return Proportion{ aTally.errors, aTally.requests };
 }
 
-Share
-AboveOf(const LatencyCounts& aCounts, std::size_t aBucket)
+Proportion
+ProportionAbove(const LatencyHistogram& aCounts, std::size_t aBucket)
 {
   const auto all =
     std::accumulate(aCounts.begin(), aCounts.end(), std::uint64_t{ 0 });
-  return Share{ CountAbove(aCounts, aBucket), all };
+  return Proportion{ CountAbove(aCounts, aBucket), all };
 }
 
 double
-SlownessEvidence(const LatencyCounts& aOld,
-                 const LatencyCounts& aNew,
-                 double aQuantile,
-                 double aMargin)
+LatencyLogRatio(const LatencyHistogram& aOld,
+                const LatencyHistogram& aNew,
+                double aQuantile,
+                double aMargin)
 {
   const std::size_t bucket = QuantileBucket(aOld, aQuantile);
-  const Share reference = AboveOf(aOld, bucket);
-  if (reference.all < kLeastReference) {
+  const Proportion reference = ProportionAbove(aOld, bucket);
+  if (reference.total < kMinReference) {
     return 0;
   }
   const double limit = std::min(1.0, UpperBound(reference) + aMargin);
-  return LogEvidence(AboveOf(aNew, bucket), limit);
+  return LogLikelihoodRatio(ProportionAbove(aNew, bucket), limit);
 }
 
 /** The share of errors that is no fault of the new version.
@@ -94,73 +94,75 @@
 double
 ErrorLimit(const Tally& aOld,
            const Tally& aOldEver,
-           const VersionTestLimits& aLimits)
+           const VersionComparisonLimits& aLimits)
 {
   // Before the old version has served enough to be a reference, errors are
   // compared with a share that no working version reaches.
   constexpr double kUnknownErrorRate = 0.2;
   constexpr std::uint64_t kSureReference = 200;
   if (aOld.requests >= kSureReference) {
-    return UpperBound(ErrorsOf(aOld)) + aLimits.errorMargin;
+    return UpperBound(ErrorProportion(aOld)) + aLimits.errorMargin;
   }
   // Late in a move the old version has few requests. Its errors over the whole
   // move are a closer reference than so few, with twice the margin for what
   // may have changed since.
-  if (aOldEver.requests >= kLeastReference) {
-    return UpperBound(ErrorsOf(aOldEver)) + 2 * aLimits.errorMargin;
+  if (aOldEver.requests >= kMinReference) {
+    return UpperBound(ErrorProportion(aOldEver)) + 2 * aLimits.errorMargin;
   }
   return kUnknownErrorRate;
 }
 
 /** The strongest evidence against a version in one stratum. */
-struct Charge
+struct Regression
 {
-  double evidence = 0; // logarithm of the likelihood ratio
-  std::string fault;
+  double logRatio = 0; // logarithm of the likelihood ratio
+  std::string symptom;
 
-  void Add(double aEvidence, const char* aFault)
+  void Consider(double aEvidence, const char* aFault)
   {
-    if (aEvidence > this->evidence) {
-      this->evidence = aEvidence;
-      this->fault = aFault;
+    if (aEvidence > this->logRatio) {
+      this->logRatio = aEvidence;
+      this->symptom = aFault;
     }
   }
 };
 
-Charge
-ChargeIn(const Tally& aOld,
-         const Tally& aOldEver,
-         const Tally& aNew,
-         const VersionTestLimits& aLimits)
+Regression
+WorstRegression(const Tally& aOld,
+                const Tally& aOldEver,
+                const Tally& aNew,
+                const VersionComparisonLimits& aLimits)
 {
-  Charge charge;
+  Regression charge;
   const double errorLimit = ErrorLimit(aOld, aOldEver, aLimits);
-  charge.Add(LogEvidence(ErrorsOf(aNew), errorLimit), "errors");
-  for (const double quantile : { kTypical, kHigh }) {
-    charge.Add(
-      SlownessEvidence(
-        aOld.firstToken, aNew.firstToken, quantile, aLimits.slowMargin),
+  charge.Consider(LogLikelihoodRatio(ErrorProportion(aNew), errorLimit),
+                  "errors");
+  for (const double quantile : { kMedian, kHigh }) {
+    charge.Consider(
+      LatencyLogRatio(
+        aOld.firstToken, aNew.firstToken, quantile, aLimits.latencyMargin),
       "slow first token");
-    charge.Add(SlownessEvidence(
-                 aOld.tokenGap, aNew.tokenGap, quantile, aLimits.slowMargin),
-               "slow tokens");
+    charge.Consider(
+      LatencyLogRatio(
+        aOld.tokenGap, aNew.tokenGap, quantile, aLimits.latencyMargin),
+      "slow tokens");
   }
   return charge;
 }
 
 } // namespace
 
-VersionFinding
-TestVersion(const StratumTallies& aOld,
-            const StratumTallies& aNew,
-            const VersionTestLimits& aLimits)
+VersionVerdict
+CompareVersions(const StratumTallies& aOld,
+                const StratumTallies& aNew,
+                const VersionComparisonLimits& aLimits)
 {
-  VersionFinding finding;
+  VersionVerdict finding;
   const double tests =
     kTestsPerStratum *
     static_cast<double>(std::max<std::size_t>(1, aNew.size()));
-  const double bad = std::log(tests / aLimits.falseAlarm);
-  const double doubtful = std::log(1 / aLimits.doubt);
+  const double bad = std::log(tests / aLimits.falseAlarmRate);
+  const double doubtful = std::log(1 / aLimits.doubtfulFalseAlarmRate);
   std::map<std::string, Tally> oldEver;
   for (const auto& [stratum, tally] : aOld) {
     oldEver[stratum.route] += tally;
@@ -170,11 +172,11 @@
     finding.requests += tally.requests;
     const auto old = aOld.find(stratum);
     const Tally reference = old == aOld.end() ? Tally{} : old->second;
-    const Charge charge =
-      ChargeIn(reference, oldEver[stratum.route], tally, aLimits);
-    if (charge.evidence > worst) {
-      worst = charge.evidence;
-      finding.reason = charge.fault + " on route " + stratum.route;
+    const Regression charge =
+      WorstRegression(reference, oldEver[stratum.route], tally, aLimits);
+    if (charge.logRatio > worst) {
+      worst = charge.logRatio;
+      finding.reason = charge.symptom + " on route " + stratum.route;
     }
   }
   finding.bad = worst > bad;
--- a/src/coord/VersionTest.h
+++ b/src/coord/VersionComparison.h
@@ -10,7 +10,7 @@
 namespace toucanshed {
 
 /** What the evidence says of a new version. */
-struct VersionFinding
+struct VersionVerdict
 {
   bool bad = false;
   /** Not bad yet, but worse than chance would often have it: no time to give
@@ -27,12 +27,12 @@
  * most `falseAlarm`, however often one looks, up to how well the old
  * version's own rate is known.
  */
-struct VersionTestLimits
+struct VersionComparisonLimits
 {
-  double falseAlarm = 0.001;
-  double doubt = 0.15;       // the same, for a finding of doubtful
-  double errorMargin = 0.01; // share of requests
-  double slowMargin = 0.12;  // share of requests above the old quantile
+  double falseAlarmRate = 0.001;
+  double doubtfulFalseAlarmRate = 0.15; // the same, for a finding of doubtful
+  double errorMargin = 0.01;            // share of requests
+  double latencyMargin = 0.12; // share of requests above the old quantile
 };
 
 /**
@@ -54,9 +54,9 @@
  *
  * Thread safety: pure function.
  */
-VersionFinding
-TestVersion(const StratumTallies& aOld,
-            const StratumTallies& aNew,
-            const VersionTestLimits& aLimits);
+VersionVerdict
+CompareVersions(const StratumTallies& aOld,
+                const StratumTallies& aNew,
+                const VersionComparisonLimits& aLimits);
 
 } // namespace toucanshed
--- a/src/coord/RetryWindow.cpp
+++ b/src/coord/WindowedRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "RetryWindow.h"
+#include "WindowedRetryBudget.h"
 
 #include <algorithm>
 
@@ -8,13 +8,13 @@
 constexpr std::int64_t kMillisPerSecond = 1000;
 }
 
-RetryWindow::Second&
-RetryWindow::Current(const ServiceId& aService, TimePoint aNow)
+WindowedRetryBudget::SecondCounts&
+WindowedRetryBudget::CurrentSecond(const ServiceId& aService, TimePoint aNow)
 {
   auto& seconds = this->services[aService];
   const std::int64_t now = aNow.ms / kMillisPerSecond;
   if (seconds.empty() || seconds.back().second != now) {
-    seconds.push_back(Second{ now, 0, 0 });
+    seconds.push_back(SecondCounts{ now, 0, 0 });
   }
   const std::int64_t kept = this->allowance.window.count() / kMillisPerSecond;
   while (seconds.front().second < now - kept) {
@@ -24,17 +24,18 @@
 }
 
 void
-RetryWindow::Request(const ServiceId& aService, TimePoint aNow)
+WindowedRetryBudget::RecordRequest(const ServiceId& aService, TimePoint aNow)
 {
-  this->Current(aService, aNow).requests += 1;
+  this->CurrentSecond(aService, aNow).requests += 1;
 }
 
 RequestRate
-RetryWindow::RequestsLately(const ServiceId& aService, TimePoint aNow)
+WindowedRetryBudget::RecentRequestRate(const ServiceId& aService,
+                                       TimePoint aNow)
 {
-  this->Current(aService, aNow);
+  this->CurrentSecond(aService, aNow);
   double requests = 0;
-  for (const Second& second : this->services[aService]) {
+  for (const SecondCounts& second : this->services[aService]) {
     requests += second.requests;
   }
   const auto window = static_cast<double>(this->allowance.window.count());
@@ -42,14 +43,14 @@
 }
 
 bool
-RetryWindow::Take(const ServiceId& aService,
-                  std::size_t aDaemons,
-                  TimePoint aNow)
+WindowedRetryBudget::TryTakeRetry(const ServiceId& aService,
+                                  std::size_t aDaemons,
+                                  TimePoint aNow)
 {
-  Second& current = this->Current(aService, aNow);
+  SecondCounts& current = this->CurrentSecond(aService, aNow);
   double requests = 0;
   double retries = 0;
-  for (const Second& second : this->services[aService]) {
+  for (const SecondCounts& second : this->services[aService]) {
     requests += second.requests;
     retries += second.retries;
   }
@@ -57,7 +58,7 @@
     static_cast<double>(std::max<std::size_t>(1, aDaemons));
   const double allowed =
     this->allowance.ratio * requests + this->allowance.slack / daemons;
-  if (retries + 1 > allowed * kUsed) {
+  if (retries + 1 > allowed * kUsedShare) {
     return false;
   }
   current.retries += 1;
--- a/src/coord/RetryWindow.h
+++ b/src/coord/WindowedRetryBudget.h
@@ -27,38 +27,40 @@
  *
  * Thread safety: none; the owner serialises.
  */
-class RetryWindow
+class WindowedRetryBudget
 {
 public:
   /** Part of the allowance that is used. Windows at different daemons do not
    * begin alike, and the judge's window slides. */
-  static constexpr double kUsed = 0.8;
+  static constexpr double kUsedShare = 0.8;
 
-  explicit RetryWindow(RetryAllowance aAllowance)
+  explicit WindowedRetryBudget(RetryAllowance aAllowance)
     : allowance(aAllowance)
   {
   }
 
-  void Request(const ServiceId& aService, TimePoint aNow);
+  void RecordRequest(const ServiceId& aService, TimePoint aNow);
   /** Requests for the service here, in the mean of the window. */
-  [[nodiscard]] RequestRate RequestsLately(const ServiceId& aService,
-                                           TimePoint aNow);
+  [[nodiscard]] RequestRate RecentRequestRate(const ServiceId& aService,
+                                              TimePoint aNow);
   /** Takes one retry. \return false when none is left.
    * \param aDaemons all that may use the allowance, heard or not */
-  bool Take(const ServiceId& aService, std::size_t aDaemons, TimePoint aNow);
+  bool TryTakeRetry(const ServiceId& aService,
+                    std::size_t aDaemons,
+                    TimePoint aNow);
 
 private:
-  struct Second
+  struct SecondCounts
   {
     std::int64_t second = 0;
     double requests = 0;
     double retries = 0;
   };
 
-  Second& Current(const ServiceId& aService, TimePoint aNow);
+  SecondCounts& CurrentSecond(const ServiceId& aService, TimePoint aNow);
 
   RetryAllowance allowance;
-  std::map<ServiceId, std::deque<Second>> services;
+  std::map<ServiceId, std::deque<SecondCounts>> services;
 };
 
 } // namespace toucanshed
--- a/src/coord/WorkTable.cpp
+++ b/src/coord/WorkTable.cpp
@@ -14,7 +14,7 @@
 {
   const WriterId writer{ aBatch.writer() };
   if (writer == this->queue.Writer()) {
-    this->queue.Settled(aBatch.sequence());
+    this->queue.MarkCommitted(aBatch.sequence());
   }
   if (!this->filter.Accept(writer, aBatch.sequence())) {
     return;
@@ -41,7 +41,7 @@
   entry.team = TeamId{ aAccepted.team() };
   entry.body = aAccepted.body();
   this->entries[id] = std::move(entry);
-  this->open.insert(id);
+  this->unfinished.insert(id);
 }
 
 void
@@ -54,9 +54,9 @@
   found->second.status = aResult.status();
   found->second.result = aResult.body();
   found->second.body.clear();
-  this->open.erase(found->first);
+  this->unfinished.erase(found->first);
   this->finished.push_back(found->first);
-  if (this->finished.size() > kMostFinished) {
+  if (this->finished.size() > kMaxFinished) {
     this->entries.erase(this->finished.front());
     this->finished.pop_front();
   }
@@ -70,11 +70,11 @@
 }
 
 std::vector<WorkId>
-WorkTable::OwnedBy(const std::string& aMe,
-                   const std::vector<std::string>& aAlive) const
+WorkTable::AssignedTo(const std::string& aMe,
+                      const std::vector<std::string>& aAlive) const
 {
   std::vector<WorkId> owned;
-  for (const WorkId& id : this->open) {
+  for (const WorkId& id : this->unfinished) {
     if (RendezvousOwner(id.value, aAlive) == aMe) {
       owned.push_back(id);
     }
--- a/src/coord/WorkTable.h
+++ b/src/coord/WorkTable.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "AppendQueue.h"
-#include "WriterFilter.h"
+#include "BatchDeduplicator.h"
 #include "base/Types.h"
 #include "records.pb.h"
 
@@ -45,26 +45,29 @@
   /** Null when it is not known, or forgotten. */
   [[nodiscard]] const WorkEntry* Find(const WorkId& aId) const;
   /** Work without a result that aMe should run, of those alive. */
-  [[nodiscard]] std::vector<WorkId> OwnedBy(
+  [[nodiscard]] std::vector<WorkId> AssignedTo(
     const std::string& aMe,
     const std::vector<std::string>& aAlive) const;
 
   AppendQueue& Queue() { return this->queue; }
-  [[nodiscard]] std::size_t Unfinished() const { return this->open.size(); }
+  [[nodiscard]] std::size_t UnfinishedCount() const
+  {
+    return this->unfinished.size();
+  }
 
   /** Unfinished work accepted at the most; more is refused as not run. */
-  static constexpr std::size_t kMostOpen = 20000;
+  static constexpr std::size_t kMaxUnfinished = 20000;
   /** Finished work kept for its callers; the oldest goes first. */
-  static constexpr std::size_t kMostFinished = 20000;
+  static constexpr std::size_t kMaxFinished = 20000;
 
 private:
   void Accept(const records::WorkAccepted& aAccepted);
   void Finish(const records::WorkResult& aResult);
 
-  WriterFilter filter;
+  BatchDeduplicator filter;
   AppendQueue queue;
   std::map<WorkId, WorkEntry> entries;
-  std::set<WorkId> open;
+  std::set<WorkId> unfinished;
   std::deque<WorkId> finished;
 };
 
--- a/src/daemon/Gate.h
+++ b/src/daemon/AdmissionController.h
@@ -5,8 +5,8 @@
 
 #include "base/Guarded.h"
 #include "coord/FairQueue.h"
-#include "coord/PlaceBudget.h"
 #include "coord/Router.h"
+#include "coord/SlotBudget.h"
 #include "edge/Task.h"
 #include "edge/Worker.h"
 
@@ -21,22 +21,22 @@
 using SharedRouter = Guarded<Router, LockRank::eRouter>;
 
 /** Why a request did not get a place. */
-enum class GateRefusal
+enum class AdmissionError
 {
-  eNoBackend, // nothing serves the version at all
-  eFull,      // the team's queue is at its bound
-  eTooLate,   // no place in the time there was
+  eNoBackend,        // nothing serves the version at all
+  eQueueFull,        // the team's queue is at its bound
+  eDeadlineExceeded, // no place in the time there was
 };
 
 /** A place taken through the gate; given back through Gate::Leave. */
-struct GatePlace
+struct EngineSlot
 {
   EngineChoice choice;
   int priority = 0; // for the engine's own queue
   ServiceId service;
   VersionId version;
   TeamId team;
-  Urgency urgency = Urgency::eQuick;
+  LatencyClass latencyClass = LatencyClass::eInteractive;
 };
 
 /**
@@ -47,38 +47,38 @@
  * Thread safety: all methods may be called from any thread; Enter on the given
  * worker. Takes its own lock, then the router's.
  */
-class Gate
+class AdmissionController
 {
 public:
   using Clock = std::function<TimePoint()>;
 
-  Gate(SharedRouter& aRouter, Clock aNow);
+  AdmissionController(SharedRouter& aRouter, Clock aNow);
 
   /** Waits for a place. The item's deadline bounds the wait. */
-  Task<tl::expected<GatePlace, GateRefusal>> Enter(Worker& aWorker,
-                                                   RouteRequest aRequest,
-                                                   QueueItem aItem);
+  Task<tl::expected<EngineSlot, AdmissionError>> Admit(Worker& aWorker,
+                                                       RouteRequest aRequest,
+                                                       QueueItem aItem);
   /** Gives a place back and hands it to one who waits. Precondition: the
    * router has been told that the request ended. */
-  void Leave(const GatePlace& aPlace);
+  void Release(const EngineSlot& aPlace);
   /** Hands free places to those who wait. */
-  void Pump();
+  void DispatchQueued();
   /** Takes in what the engines now have and report.
    *  \param aDaemons how many daemons share them. */
-  void UpdateSupply(std::size_t aDaemons);
+  void UpdateCapacity(std::size_t aDaemons);
   void SetWeight(const TeamId& aTeam, double aWeight);
   /** One version's line, for operators. */
-  struct LineView
+  struct QueueStatus
   {
     ServiceId service;
     VersionId version;
     std::size_t waiting = 0;
     std::uint64_t inFlight = 0;
-    double places = 0;
+    double slots = 0;
   };
-  std::vector<LineView> Lines();
+  std::vector<QueueStatus> QueueStatuses();
   /** Requests waiting now. */
-  std::size_t Waiting();
+  std::size_t WaitingCount();
 
 private:
   struct Waiter
@@ -86,30 +86,32 @@
     RouteRequest request;
     Worker* worker = nullptr;
     std::shared_ptr<boost::asio::steady_timer> timer;
-    std::optional<GatePlace> place;
+    std::optional<EngineSlot> slot;
   };
   using QueueKey = std::pair<ServiceId, VersionId>;
-  struct Line
+  struct VersionQueue
   {
     FairQueue queue;
-    PlaceBudget budget;
+    SlotBudget budget;
   };
   struct Queues
   {
-    std::map<QueueKey, Line> byVersion;
+    std::map<QueueKey, VersionQueue> byVersion;
     std::map<std::uint64_t, Waiter> waiters;
     std::map<TeamId, double> weights;
     std::uint64_t lastTicket = 0;
-    std::size_t daemons = 1;
+    std::size_t daemonCount = 1;
   };
 
-  Line& LineOf(Queues& aQueues, const QueueKey& aKey);
-  void Refresh(const Queues& aQueues, const QueueKey& aKey, Line& aLine);
+  VersionQueue& QueueOf(Queues& aQueues, const QueueKey& aKey);
+  void UpdateBudget(const Queues& aQueues,
+                    const QueueKey& aKey,
+                    VersionQueue& aLine);
   /** Takes a place if the budget and an engine allow it now. */
-  std::optional<GatePlace> TryStart(Line& aLine,
-                                    RouteRequest aRequest,
-                                    const QueueItem& aItem);
-  void PumpOne(Queues& aQueues, Line& aLine);
+  std::optional<EngineSlot> TryAcquireSlot(VersionQueue& aLine,
+                                           RouteRequest aRequest,
+                                           const QueueItem& aItem);
+  void DispatchFrom(Queues& aQueues, VersionQueue& aLine);
 
   SharedRouter& router;
   Clock now;
--- a/src/daemon/BackendWatcher.h
+++ b/src/daemon/BackendWatcher.h
@@ -15,6 +15,6 @@
 /** Takes facts about leaving back ends and reservations to the router.
  * Thread safety: any thread. */
 void
-ApplyCaution(DaemonState& aState);
+ApplyFactsToRouter(DaemonState& aState);
 
 } // namespace toucanshed
