--- a/src/daemon/CallerApi.cpp
+++ b/src/daemon/CallerApi.cpp
@@ -1,7 +1,7 @@
 #include "CallerApi.h"
 
-#include "CallerAnswers.h"
 #include "CallerRequest.h"
+#include "CallerResponses.h"
 #include "CallerStream.h"
 #include "Handover.h"
 #include "ModelCall.h"
@@ -22,11 +22,11 @@
 constexpr std::string_view kWorkPrefix = "/v1/accepted/";
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 constexpr std::string_view kCompletionsPath = "/v1/completions";
-constexpr Millis kQuickDeadline{ 20000 };
-constexpr Millis kMostDeadline{ 600000 };
+constexpr Millis kDefaultDeadline{ 20000 };
+constexpr Millis kMaxDeadline{ 600000 };
 
 /** What every request has once its team is known. */
-struct Caller
+struct CallerContext
 {
   RequestId id;
   TeamId team;
@@ -34,22 +34,22 @@
   TimePoint deadline;
 };
 
-struct InFlight
+struct InFlightGuard
 {
   std::atomic<std::uint64_t>& count;
 
-  explicit InFlight(std::atomic<std::uint64_t>& aCount)
+  explicit InFlightGuard(std::atomic<std::uint64_t>& aCount)
     : count(aCount)
   {
     ++this->count;
   }
-  ~InFlight() { --this->count; }
-  InFlight(const InFlight&) = delete;
-  InFlight& operator=(const InFlight&) = delete;
+  ~InFlightGuard() { --this->count; }
+  InFlightGuard(const InFlightGuard&) = delete;
+  InFlightGuard& operator=(const InFlightGuard&) = delete;
 };
 
 std::optional<TeamId>
-TeamOf(const DaemonState& aState, const HttpRequest& aRequest)
+AuthenticateTeam(const DaemonState& aState, const HttpRequest& aRequest)
 {
   constexpr std::string_view kScheme = "Bearer ";
   const std::string given = HeaderOf(aRequest, "Authorization");
@@ -64,30 +64,30 @@
   return found->second;
 }
 
-tl::expected<TimePoint, Complaint>
-DeadlineOf(const HttpRequest& aRequest, TimePoint aNow)
+tl::expected<TimePoint, ValidationError>
+ParseDeadline(const HttpRequest& aRequest, TimePoint aNow)
 {
   const std::string given = HeaderOf(aRequest, "Toucanshed-Deadline-Ms");
   if (given.empty()) {
-    return aNow + kQuickDeadline;
+    return aNow + kDefaultDeadline;
   }
   std::int64_t ms = 0;
   const char* end = given.data() + given.size();
   const auto parsed = std::from_chars(given.data(), end, ms);
   if (parsed.ec != std::errc{} || parsed.ptr != end || ms < 1 ||
-      ms > kMostDeadline.count()) {
-    return tl::unexpected<Complaint>(
-      Complaint{ "Toucanshed-Deadline-Ms",
-                 "\"" + given + "\"",
-                 "milliseconds from 1 to 600000" });
+      ms > kMaxDeadline.count()) {
+    return tl::unexpected<ValidationError>(
+      ValidationError{ "Toucanshed-Deadline-Ms",
+                       "\"" + given + "\"",
+                       "milliseconds from 1 to 600000" });
   }
   return aNow + Millis(ms);
 }
 
 std::optional<ServiceEntry>
-EntryOf(DaemonState& aState, const ServiceId& aService)
+FindServiceEntry(DaemonState& aState, const ServiceId& aService)
 {
-  return aState.control.With(
+  return aState.control.WithLock(
     [&](ControlReader& aReader) -> std::optional<ServiceEntry> {
       const ServiceEntry* entry = aReader.Table().Find(aService);
       return entry == nullptr ? std::nullopt
@@ -97,7 +97,9 @@
 
 /** Tells events and metrics how a request ended. */
 void
-NoteEnd(DaemonState& aState, const Caller& aCaller, const std::string& aOutcome)
+RecordOutcome(DaemonState& aState,
+              const CallerContext& aCaller,
+              const std::string& aOutcome)
 {
   aState.events.Emit(Event("request.ended")
                        .With("request", aCaller.id)
@@ -110,104 +112,106 @@
 
 /** Sends an answer with the request's id. */
 Task<void>
-Finish(DaemonState& aState,
-       const Caller& aCaller,
-       HttpReply aReply,
-       HttpResponder& aResponder)
+SendResponse(DaemonState& aState,
+             const CallerContext& aCaller,
+             HttpResponse aReply,
+             HttpResponder& aResponder)
 {
-  NoteEnd(aState, aCaller, HeaderOf(aReply, kOutcomeHeader));
-  aReply.set(kRequestHeader, aCaller.id.value);
+  RecordOutcome(aState, aCaller, HeaderOf(aReply, kOutcomeHeader));
+  aReply.set(kRequestIdHeader, aCaller.id.value);
   co_await aResponder.Send(std::move(aReply));
 }
 
 Task<void>
-AnswerStream(DaemonState& aState,
-             Worker& aWorker,
-             Caller aCaller,
-             ModelRequest aRequest,
-             std::optional<ResumePoint> aResume,
-             HttpResponder& aResponder)
+HandleStreaming(DaemonState& aState,
+                Worker& aWorker,
+                CallerContext aCaller,
+                ModelRequest aRequest,
+                std::optional<ResumePoint> aResume,
+                HttpResponder& aResponder)
 {
-  std::optional<HandedStream> handed;
+  std::optional<HandedOverStream> handed;
   if (aResume) {
     const RequestId earlier{ aResume->request };
-    handed = co_await FindHandedOver(aState, aWorker, earlier);
+    handed = co_await FindHandedOverStream(aState, aWorker, earlier);
   }
   CallerStream writer(aRequest, std::move(aResume), aResponder);
   ModelCall call(
     aState, aWorker, aRequest, [&writer](const std::string& aToken) {
-      return writer.Take(aToken);
+      return writer.WriteToken(aToken);
     });
   call.AllowHandover();
-  if (handed && co_await writer.TakeAll(handed->tokens)) {
-    call.StartFrom(handed->tokens);
+  if (handed && co_await writer.ReplayTokens(handed->tokens)) {
+    call.ResumeFrom(handed->tokens);
   }
-  CallEnd end = co_await call.Run();
-  if (writer.Mismatch()) {
-    end.outcome = CallOutcome::eMayHaveRun;
+  RequestResult end = co_await call.Run();
+  if (writer.HasMismatch()) {
+    end.outcome = RequestOutcome::eMayHaveRun;
     end.reason = "the answer cannot be resumed: its beginning came out "
                  "differently; ask again without Last-Event-ID";
   }
   const bool nothingSent = !aResponder.Started();
-  if (nothingSent && end.outcome != CallOutcome::eCompleted) {
-    co_await Finish(aState, aCaller, RefusalReply(end), aResponder);
+  if (nothingSent && end.outcome != RequestOutcome::eCompleted) {
+    co_await SendResponse(aState, aCaller, FailureResponse(end), aResponder);
     co_return;
   }
-  NoteEnd(aState, aCaller, ToText(end.outcome));
+  RecordOutcome(aState, aCaller, ToText(end.outcome));
   co_await writer.End(end);
 }
 
 Task<void>
-AnswerWhole(DaemonState& aState,
-            Worker& aWorker,
-            Caller aCaller,
-            ModelRequest aRequest,
-            HttpResponder& aResponder)
+HandleBuffered(DaemonState& aState,
+               Worker& aWorker,
+               CallerContext aCaller,
+               ModelRequest aRequest,
+               HttpResponder& aResponder)
 {
-  ModelCall call(aState, aWorker, aRequest, &KeepWhole);
-  const CallEnd end = co_await call.Run();
-  if (end.outcome != CallOutcome::eCompleted) {
-    co_await Finish(aState, aCaller, RefusalReply(end), aResponder);
+  ModelCall call(aState, aWorker, aRequest, &AcceptToken);
+  const RequestResult end = co_await call.Run();
+  if (end.outcome != RequestOutcome::eCompleted) {
+    co_await SendResponse(aState, aCaller, FailureResponse(end), aResponder);
     co_return;
   }
-  HttpReply reply = MakeReply(200,
-                              WholeAnswerJson(aCaller.id.value,
-                                              aRequest.service.value,
-                                              aRequest.route,
-                                              call.Answer().Text(),
-                                              call.Answer().Count()));
+  HttpResponse reply =
+    MakeResponse(200,
+                 CompletionJson(aCaller.id.value,
+                                aRequest.service.value,
+                                aRequest.route,
+                                call.Response().Text(),
+                                call.Response().TokenCount()));
   reply.set(kOutcomeHeader, ToText(end.outcome));
-  co_await Finish(aState, aCaller, std::move(reply), aResponder);
+  co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
 }
 
 Task<void>
-HandleModel(DaemonState& aState,
-            Worker& aWorker,
-            Caller aCaller,
-            const HttpRequest& aRequest,
-            HttpResponder& aResponder)
+HandleModelRequest(DaemonState& aState,
+                   Worker& aWorker,
+                   CallerContext aCaller,
+                   const HttpRequest& aRequest,
+                   HttpResponder& aResponder)
 {
   const bool chat = PathOf(aRequest.target()) == kChatPath;
-  const auto body = ParseCallerBody(aRequest.body(), chat);
+  const auto body = ParseModelRequestBody(aRequest.body(), chat);
   if (!body) {
-    co_await Finish(
-      aState, aCaller, MistakeReply(400, body.error()), aResponder);
+    co_await SendResponse(
+      aState, aCaller, ClientErrorResponse(400, body.error()), aResponder);
     co_return;
   }
   const ServiceId service{ body->model };
-  const auto entry = EntryOf(aState, service);
+  const auto entry = FindServiceEntry(aState, service);
   if (!entry || entry->document.kind() != config::MODEL) {
-    const Complaint complaint{ "model",
-                               "\"" + body->model + "\"",
-                               "a model service that is configured" };
-    co_await Finish(aState, aCaller, MistakeReply(404, complaint), aResponder);
+    const ValidationError complaint{ "model",
+                                     "\"" + body->model + "\"",
+                                     "a model service that is configured" };
+    co_await SendResponse(
+      aState, aCaller, ClientErrorResponse(404, complaint), aResponder);
     co_return;
   }
   const std::string route = chat ? "chat" : "completions";
   if (HeaderOf(aRequest, "Prefer") == "respond-async") {
-    HttpReply reply = co_await AcceptWork(
+    HttpResponse reply = co_await AcceptWork(
       aState, aWorker, aCaller.team, service, route, aRequest.body());
-    co_await Finish(aState, aCaller, std::move(reply), aResponder);
+    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
     co_return;
   }
   ModelRequest request;
@@ -219,24 +223,25 @@
   request.maxTokens = body->maxTokens;
   request.arrived = aCaller.arrived;
   request.deadline = aCaller.deadline;
-  request.fingerprint = Fingerprint{ MixHash(
-    Hash64(service.value), MixHash(Hash64(body->prompt), body->maxTokens)) };
+  request.fingerprint = Fingerprint{ CombineHashes(
+    Hash64(service.value),
+    CombineHashes(Hash64(body->prompt), body->maxTokens)) };
   if (!body->stream) {
-    co_await AnswerWhole(
+    co_await HandleBuffered(
       aState, aWorker, aCaller, std::move(request), aResponder);
     co_return;
   }
   auto resume = ParseEventId(HeaderOf(aRequest, "Last-Event-ID"));
-  co_await AnswerStream(aState,
-                        aWorker,
-                        aCaller,
-                        std::move(request),
-                        std::move(resume),
-                        aResponder);
+  co_await HandleStreaming(aState,
+                           aWorker,
+                           aCaller,
+                           std::move(request),
+                           std::move(resume),
+                           aResponder);
 }
 
 const config::Route*
-RouteFor(const config::ServiceDocument& aDocument, std::string_view aPath)
+MatchRoute(const config::ServiceDocument& aDocument, std::string_view aPath)
 {
   const config::Route* longest = nullptr;
   for (const config::Route& route : aDocument.routes()) {
@@ -249,46 +254,49 @@
   return longest;
 }
 
-HttpReply
-PlainReply(const PlainEnd& aEnd)
+HttpResponse
+MakePlainResponse(const PlainCallResult& aEnd)
 {
-  if (aEnd.mistake) {
+  if (aEnd.callerError) {
     constexpr unsigned kUnprocessable = 422;
-    return MistakeReply(kUnprocessable, *aEnd.mistake);
+    return ClientErrorResponse(kUnprocessable, *aEnd.callerError);
   }
-  if (aEnd.end.outcome != CallOutcome::eCompleted) {
-    return RefusalReply(aEnd.end);
+  if (aEnd.result.outcome != RequestOutcome::eCompleted) {
+    return FailureResponse(aEnd.result);
   }
-  HttpReply reply =
-    MakeReply(aEnd.answer.status, aEnd.answer.body, aEnd.answer.contentType);
-  reply.set(kOutcomeHeader, ToText(CallOutcome::eCompleted));
+  HttpResponse reply = MakeResponse(
+    aEnd.response.status, aEnd.response.body, aEnd.response.contentType);
+  reply.set(kOutcomeHeader, ToText(RequestOutcome::eCompleted));
   return reply;
 }
 
-Task<HttpReply>
-CallPlain(DaemonState& aState,
-          Worker& aWorker,
-          Caller aCaller,
-          const HttpRequest& aRequest)
+Task<HttpResponse>
+HandlePlainRequest(DaemonState& aState,
+                   Worker& aWorker,
+                   CallerContext aCaller,
+                   const HttpRequest& aRequest)
 {
   const std::string_view rest =
     std::string_view(aRequest.target()).substr(kServicePrefix.size());
   const auto slash = rest.find('/');
   const std::string name(rest.substr(0, slash));
-  const auto entry = EntryOf(aState, ServiceId{ name });
+  const auto entry = FindServiceEntry(aState, ServiceId{ name });
   if (!entry || entry->document.kind() != config::PLAIN ||
       slash == std::string_view::npos) {
-    co_return MistakeReply(404,
-                           Complaint{ "path",
-                                      "\"" + name + "\"",
-                                      "/svc/SERVICE/... of a plain service "
-                                      "that is configured" });
+    co_return ClientErrorResponse(
+      404,
+      ValidationError{ "path",
+                       "\"" + name + "\"",
+                       "/svc/SERVICE/... of a plain service "
+                       "that is configured" });
   }
   const std::string target(rest.substr(slash));
-  const config::Route* route = RouteFor(entry->document, PathOf(target));
+  const config::Route* route = MatchRoute(entry->document, PathOf(target));
   if (route == nullptr) {
-    co_return MistakeReply(
-      404, Complaint{ "path", "\"" + target + "\"", "a route of the service" });
+    co_return ClientErrorResponse(404,
+                                  ValidationError{ "path",
+                                                   "\"" + target + "\"",
+                                                   "a route of the service" });
   }
   PlainRequest request;
   request.id = aCaller.id;
@@ -300,57 +308,64 @@
   request.contentType = HeaderOf(aRequest, "Content-Type");
   request.body = aRequest.body();
   request.deadline = aCaller.deadline;
-  request.fingerprint = Fingerprint{ MixHash(
+  request.fingerprint = Fingerprint{ CombineHashes(
     Hash64(target, static_cast<std::uint64_t>(aRequest.method())),
     Hash64(aRequest.body())) };
   if (route->repeatable()) {
-    co_return PlainReply(
-      co_await RunRepeatable(aState, aWorker, std::move(request)));
+    co_return MakePlainResponse(
+      co_await RunRetryable(aState, aWorker, std::move(request)));
   }
-  request.key = HeaderOf(aRequest, "Idempotency-Key");
-  if (request.key.empty()) {
-    co_return MistakeReply(400,
-                           Complaint{ "Idempotency-Key",
-                                      "nothing",
-                                      "a key, as this route may not be "
-                                      "repeated" });
+  request.idempotencyKey = HeaderOf(aRequest, "Idempotency-Key");
+  if (request.idempotencyKey.empty()) {
+    co_return ClientErrorResponse(
+      400,
+      ValidationError{ "Idempotency-Key",
+                       "nothing",
+                       "a key, as this route may not be "
+                       "repeated" });
   }
-  co_return PlainReply(co_await RunOnce(aState, aWorker, std::move(request)));
+  co_return MakePlainResponse(
+    co_await RunAtMostOnce(aState, aWorker, std::move(request)));
 }
 
 Task<void>
 Dispatch(DaemonState& aState,
          Worker& aWorker,
-         Caller aCaller,
+         CallerContext aCaller,
          const HttpRequest& aRequest,
          HttpResponder& aResponder)
 {
   const std::string_view path = PathOf(aRequest.target());
   if (path == kChatPath || path == kCompletionsPath) {
     if (aRequest.method() == http::verb::post) {
-      co_await HandleModel(aState, aWorker, aCaller, aRequest, aResponder);
+      co_await HandleModelRequest(
+        aState, aWorker, aCaller, aRequest, aResponder);
     } else {
-      co_await Finish(
-        aState, aCaller, MistakeReply(405, "POST is expected"), aResponder);
+      co_await SendResponse(aState,
+                            aCaller,
+                            ClientErrorResponse(405, "POST is expected"),
+                            aResponder);
     }
     co_return;
   }
   if (path.starts_with(kWorkPrefix)) {
     const WorkId work{ std::string(path.substr(kWorkPrefix.size())) };
-    HttpReply reply = AnswerWork(aState, aCaller.team, work);
-    co_await Finish(aState, aCaller, std::move(reply), aResponder);
+    HttpResponse reply = WorkStatusResponse(aState, aCaller.team, work);
+    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
     co_return;
   }
   if (path.starts_with(kServicePrefix)) {
-    HttpReply reply = co_await CallPlain(aState, aWorker, aCaller, aRequest);
-    co_await Finish(aState, aCaller, std::move(reply), aResponder);
+    HttpResponse reply =
+      co_await HandlePlainRequest(aState, aWorker, aCaller, aRequest);
+    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
     co_return;
   }
-  const Complaint complaint{ "path",
-                             "\"" + std::string(path) + "\"",
-                             "/v1/chat/completions, /v1/completions, "
-                             "/v1/accepted/ID or /svc/SERVICE/..." };
-  co_await Finish(aState, aCaller, MistakeReply(404, complaint), aResponder);
+  const ValidationError complaint{ "path",
+                                   "\"" + std::string(path) + "\"",
+                                   "/v1/chat/completions, /v1/completions, "
+                                   "/v1/accepted/ID or /svc/SERVICE/..." };
+  co_await SendResponse(
+    aState, aCaller, ClientErrorResponse(404, complaint), aResponder);
 }
 
 } // namespace
@@ -361,29 +376,32 @@
              const HttpRequest& aRequest,
              HttpResponder& aResponder)
 {
-  const InFlight counted(aState.inFlight);
-  Caller caller;
+  const InFlightGuard counted(aState.inFlight);
+  CallerContext caller;
   caller.id = RequestId{ aState.NewId("r") };
   caller.arrived = aState.Now();
-  const auto team = TeamOf(aState, aRequest);
+  const auto team = AuthenticateTeam(aState, aRequest);
   if (!team) {
-    const Complaint complaint{ "Authorization",
-                               "no token that is known",
-                               "Bearer TOKEN of a team" };
-    co_await Finish(aState, caller, MistakeReply(401, complaint), aResponder);
+    const ValidationError complaint{ "Authorization",
+                                     "no token that is known",
+                                     "Bearer TOKEN of a team" };
+    co_await SendResponse(
+      aState, caller, ClientErrorResponse(401, complaint), aResponder);
     co_return;
   }
   caller.team = *team;
-  const auto deadline = DeadlineOf(aRequest, caller.arrived);
+  const auto deadline = ParseDeadline(aRequest, caller.arrived);
   if (!deadline) {
-    co_await Finish(
-      aState, caller, MistakeReply(400, deadline.error()), aResponder);
+    co_await SendResponse(
+      aState, caller, ClientErrorResponse(400, deadline.error()), aResponder);
     co_return;
   }
   caller.deadline = *deadline;
   if (aState.inFlight > aState.settings.maxInFlight) {
-    const CallEnd full{ CallOutcome::eNotRun, "this daemon is full", 1 };
-    co_await Finish(aState, caller, RefusalReply(full), aResponder);
+    const RequestResult full{ RequestOutcome::eNotRun,
+                              "this daemon is full",
+                              1 };
+    co_await SendResponse(aState, caller, FailureResponse(full), aResponder);
     co_return;
   }
   co_await Dispatch(aState, aWorker, caller, aRequest, aResponder);
--- a/src/daemon/CallerRequest.cpp
+++ b/src/daemon/CallerRequest.cpp
@@ -11,30 +11,30 @@
 
 namespace {
 
-constexpr std::uint64_t kDefaultTokens = 256;
+constexpr std::uint64_t kDefaultMaxTokens = 256;
 
-tl::unexpected<Complaint>
-Complain(std::string aPath, std::string aGiven, std::string aAllowed)
+tl::unexpected<ValidationError>
+MakeError(std::string aPath, std::string aGiven, std::string aAllowed)
 {
-  return tl::unexpected<Complaint>(
-    Complaint{ std::move(aPath), std::move(aGiven), std::move(aAllowed) });
+  return tl::unexpected<ValidationError>(ValidationError{
+    std::move(aPath), std::move(aGiven), std::move(aAllowed) });
 }
 
 std::string
-Shown(const json::value* aValue)
+PreviewOf(const json::value* aValue)
 {
   constexpr std::size_t kMostShown = 80;
   return aValue == nullptr ? "nothing"
                            : json::serialize(*aValue).substr(0, kMostShown);
 }
 
-tl::expected<std::string, Complaint>
-PromptOfMessages(const json::object& aBody)
+tl::expected<std::string, ValidationError>
+JoinMessages(const json::object& aBody)
 {
   const json::value* messages = aBody.if_contains("messages");
   if (messages == nullptr || !messages->is_array() ||
       messages->as_array().empty()) {
-    return Complain("messages", Shown(messages), "a list of messages");
+    return MakeError("messages", PreviewOf(messages), "a list of messages");
   }
   std::string prompt;
   std::size_t index = 0;
@@ -43,9 +43,9 @@
                                    ? message.as_object().if_contains("content")
                                    : nullptr;
     if (content == nullptr || !content->is_string()) {
-      return Complain("messages[" + std::to_string(index) + "].content",
-                      Shown(content),
-                      "a string");
+      return MakeError("messages[" + std::to_string(index) + "].content",
+                       PreviewOf(content),
+                       "a string");
     }
     prompt += prompt.empty() ? "" : "\n";
     prompt += content->as_string();
@@ -68,53 +68,54 @@
 
 } // namespace
 
-tl::expected<CallerBody, Complaint>
-ParseCallerBody(std::string_view aBody, bool aChat)
+tl::expected<ModelRequestBody, ValidationError>
+ParseModelRequestBody(std::string_view aBody, bool aChat)
 {
   const auto object = ParseJsonObject(aBody);
   if (!object) {
-    return Complain(
+    return MakeError(
       "body", std::to_string(aBody.size()) + " bytes", "a JSON object");
   }
-  CallerBody body;
+  ModelRequestBody body;
   body.model = StringOf(*object, "model");
   if (body.model.empty()) {
-    return Complain("model", Shown(object->if_contains("model")), "a string");
+    return MakeError(
+      "model", PreviewOf(object->if_contains("model")), "a string");
   }
   if (aChat) {
-    auto prompt = PromptOfMessages(*object);
+    auto prompt = JoinMessages(*object);
     if (!prompt) {
-      return tl::unexpected<Complaint>(prompt.error());
+      return tl::unexpected<ValidationError>(prompt.error());
     }
     body.prompt = std::move(*prompt);
   } else {
     const json::value* prompt = object->if_contains("prompt");
     if (prompt == nullptr || !prompt->is_string()) {
-      return Complain("prompt", Shown(prompt), "a string");
+      return MakeError("prompt", PreviewOf(prompt), "a string");
     }
     body.prompt = std::string(prompt->as_string());
   }
   const json::value* tokens = object->if_contains("max_tokens");
   body.maxTokens =
-    tokens == nullptr ? kDefaultTokens : NumberOf(*object, "max_tokens");
-  if (body.maxTokens == 0 || body.maxTokens > kMostTokens) {
-    return Complain("max_tokens",
-                    Shown(tokens),
-                    "a whole number from 1 to " + std::to_string(kMostTokens));
+    tokens == nullptr ? kDefaultMaxTokens : NumberOf(*object, "max_tokens");
+  if (body.maxTokens == 0 || body.maxTokens > kMaxTokens) {
+    return MakeError("max_tokens",
+                     PreviewOf(tokens),
+                     "a whole number from 1 to " + std::to_string(kMaxTokens));
   }
   const json::value* stream = object->if_contains("stream");
   if (stream != nullptr && !stream->is_bool()) {
-    return Complain("stream", Shown(stream), "true or false");
+    return MakeError("stream", PreviewOf(stream), "true or false");
   }
   body.stream = BoolOf(*object, "stream");
   return body;
 }
 
 std::string
-EventIdOf(const ResumePoint& aPoint)
+FormatEventId(const ResumePoint& aPoint)
 {
-  return aPoint.request + ":" + std::to_string(aPoint.count) + ":" +
-         std::to_string(aPoint.hash);
+  return aPoint.request + ":" + std::to_string(aPoint.tokenCount) + ":" +
+         std::to_string(aPoint.tokenHash);
 }
 
 std::optional<ResumePoint>
--- a/src/daemon/CallerRequest.h
+++ b/src/daemon/CallerRequest.h
@@ -3,8 +3,8 @@
  */
 #pragma once
 
-#include "base/Complaint.h"
 #include "base/Result.h"
+#include "base/ValidationError.h"
 
 #include <cstdint>
 #include <optional>
@@ -14,7 +14,7 @@
 namespace toucanshed {
 
 /** The body of a chat or completions request. */
-struct CallerBody
+struct ModelRequestBody
 {
   std::string model;
   std::string prompt;
@@ -26,24 +26,24 @@
 struct ResumePoint
 {
   std::string request;
-  std::uint64_t count = 0; // tokens the caller has
-  std::uint64_t hash = 0;  // over these tokens
+  std::uint64_t tokenCount = 0; // tokens the caller has
+  std::uint64_t tokenHash = 0;  // over these tokens
 };
 
 /** Parses a body; \param aChat whether `messages` or `prompt` is expected.
  * Thread safety: pure function. */
-tl::expected<CallerBody, Complaint>
-ParseCallerBody(std::string_view aBody, bool aChat);
+tl::expected<ModelRequestBody, ValidationError>
+ParseModelRequestBody(std::string_view aBody, bool aChat);
 
 /** "REQUEST:COUNT:HASH", the id of a stream's event. */
 std::string
-EventIdOf(const ResumePoint& aPoint);
+FormatEventId(const ResumePoint& aPoint);
 
 /** Parses an event id; nothing when it is none of ours. */
 std::optional<ResumePoint>
 ParseEventId(std::string_view aText);
 
 /** Most tokens a request may ask for. */
-constexpr std::uint64_t kMostTokens = 32768;
+constexpr std::uint64_t kMaxTokens = 32768;
 
 } // namespace toucanshed
--- a/src/daemon/CallerAnswers.h
+++ b/src/daemon/CallerResponses.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "ModelCall.h"
-#include "base/Complaint.h"
+#include "base/ValidationError.h"
 #include "edge/HttpTypes.h"
 
 #include <string>
@@ -14,24 +14,24 @@
 /** Header that says what became of a request. */
 constexpr const char* kOutcomeHeader = "Toucanshed-Outcome";
 /** Header that names the request. */
-constexpr const char* kRequestHeader = "Toucanshed-Request";
+constexpr const char* kRequestIdHeader = "Toucanshed-Request";
 
 /** "completed", "not-run" or "may-have-run". */
 std::string
-ToText(CallOutcome aOutcome);
+ToText(RequestOutcome aOutcome);
 
 /** An answer about the caller's mistake; nothing was run. */
-HttpReply
-MistakeReply(unsigned aStatus, const std::string& aMessage);
-HttpReply
-MistakeReply(unsigned aStatus, const Complaint& aComplaint);
+HttpResponse
+ClientErrorResponse(unsigned aStatus, const std::string& aMessage);
+HttpResponse
+ClientErrorResponse(unsigned aStatus, const ValidationError& aComplaint);
 
 /** A refusal or failure, with when to come back. */
-HttpReply
-RefusalReply(const CallEnd& aEnd);
+HttpResponse
+FailureResponse(const RequestResult& aEnd);
 
 /** The same as a JSON object, for a stream that has begun. */
 std::string
-RefusalJson(const CallEnd& aEnd);
+FailureJson(const RequestResult& aEnd);
 
 } // namespace toucanshed
--- a/src/daemon/CallerStream.cpp
+++ b/src/daemon/CallerStream.cpp
@@ -1,6 +1,6 @@
 #include "CallerStream.h"
 
-#include "CallerAnswers.h"
+#include "CallerResponses.h"
 #include "base/Hash.h"
 
 #include <boost/json.hpp>
@@ -36,11 +36,11 @@
 } // namespace
 
 std::string
-WholeAnswerJson(const std::string& aId,
-                const std::string& aModel,
-                const std::string& aRoute,
-                const std::string& aText,
-                std::uint64_t aTokens)
+CompletionJson(const std::string& aId,
+               const std::string& aModel,
+               const std::string& aRoute,
+               const std::string& aText,
+               std::uint64_t aTokens)
 {
   const bool chat = aRoute == "chat";
   json::object choice{ { "index", 0 }, { "finish_reason", "length" } };
@@ -64,41 +64,43 @@
                            std::optional<ResumePoint> aResume,
                            HttpResponder& aResponder)
   : request(aRequest)
-  , resume(std::move(aResume))
+  , resumePoint(std::move(aResume))
   , responder(aResponder)
 {
 }
 
 Task<bool>
-CallerStream::Begin()
+CallerStream::SendHead()
 {
   if (this->responder.Started()) {
     co_return true;
   }
-  HttpReply head = MakeReply(200, {}, "text/event-stream");
+  HttpResponse head = MakeResponse(200, {}, "text/event-stream");
   head.set(http::field::cache_control, "no-store");
-  head.set(kRequestHeader, this->request.id.value);
+  head.set(kRequestIdHeader, this->request.id.value);
   head.set(http::field::trailer, kOutcomeHeader);
   const bool begun = co_await this->responder.Begin(std::move(head));
   co_return begun;
 }
 
 Task<bool>
-CallerStream::Take(std::string aToken)
+CallerStream::WriteToken(std::string aToken)
 {
-  ++this->count;
-  this->hash = Hash64(aToken, this->hash);
-  if (this->resume && this->count <= this->resume->count) {
-    this->mismatch =
-      this->count == this->resume->count && this->hash != this->resume->hash;
+  ++this->tokenCount;
+  this->tokenHash = Hash64(aToken, this->tokenHash);
+  if (this->resumePoint && this->tokenCount <= this->resumePoint->tokenCount) {
+    this->mismatch = this->tokenCount == this->resumePoint->tokenCount &&
+                     this->tokenHash != this->resumePoint->tokenHash;
     co_return !this->mismatch;
   }
-  const bool begun = co_await this->Begin();
+  const bool begun = co_await this->SendHead();
   if (!begun) {
     co_return false;
   }
-  const ResumePoint point{ this->request.id.value, this->count, this->hash };
-  std::string event = "id: " + EventIdOf(point) +
+  const ResumePoint point{ this->request.id.value,
+                           this->tokenCount,
+                           this->tokenHash };
+  std::string event = "id: " + FormatEventId(point) +
                       "\ndata: " + ChunkJson(this->request, aToken, nullptr) +
                       "\n\n";
   const bool written = co_await this->responder.Write(std::move(event));
@@ -106,33 +108,36 @@
 }
 
 Task<bool>
-CallerStream::TakeAll(const std::vector<std::string>& aTokens)
+CallerStream::ReplayTokens(const std::vector<std::string>& aTokens)
 {
   std::uint64_t prefix = 0;
-  for (std::size_t i = 0; i < aTokens.size() && i < this->resume->count; ++i) {
+  for (std::size_t i = 0;
+       i < aTokens.size() && i < this->resumePoint->tokenCount;
+       ++i) {
     prefix = Hash64(aTokens[i], prefix);
   }
-  if (aTokens.size() < this->resume->count || prefix != this->resume->hash) {
+  if (aTokens.size() < this->resumePoint->tokenCount ||
+      prefix != this->resumePoint->tokenHash) {
     co_return false;
   }
   for (const std::string& token : aTokens) {
-    co_await this->Take(token);
+    co_await this->WriteToken(token);
   }
   co_return true;
 }
 
 Task<void>
-CallerStream::End(const CallEnd& aEnd)
+CallerStream::End(const RequestResult& aEnd)
 {
-  if (aEnd.outcome == CallOutcome::eHandedOver) {
+  if (aEnd.outcome == RequestOutcome::eHandedOver) {
     co_return;
   }
   std::string last =
     "data: " + ChunkJson(this->request, {}, "length") + "\n\ndata: [DONE]\n\n";
-  if (aEnd.outcome != CallOutcome::eCompleted) {
-    last = "event: error\ndata: " + RefusalJson(aEnd) + "\n";
+  if (aEnd.outcome != RequestOutcome::eCompleted) {
+    last = "event: error\ndata: " + FailureJson(aEnd) + "\n";
   }
-  const bool begun = co_await this->Begin();
+  const bool begun = co_await this->SendHead();
   if (begun) {
     co_await this->responder.Write(std::move(last));
     co_await this->responder.End(std::string(kOutcomeHeader) + ": " +
--- a/src/daemon/CallerStream.h
+++ b/src/daemon/CallerStream.h
@@ -4,9 +4,9 @@
  */
 #pragma once
 
-#include "CallEnd.h"
 #include "CallerRequest.h"
 #include "ModelRequest.h"
+#include "RequestResult.h"
 #include "edge/HttpResponder.h"
 
 #include <optional>
@@ -17,11 +17,11 @@
 
 /** The whole answer of a model, as callers expect it. */
 std::string
-WholeAnswerJson(const std::string& aId,
-                const std::string& aModel,
-                const std::string& aRoute,
-                const std::string& aText,
-                std::uint64_t aTokens);
+CompletionJson(const std::string& aId,
+               const std::string& aModel,
+               const std::string& aRoute,
+               const std::string& aText,
+               std::uint64_t aTokens);
 
 /**
  * Writes one stream. An event's id bears the number of tokens so far and a
@@ -40,24 +40,24 @@
 
   /** Takes the next token; false when the caller has gone or the answer is not
    * the one it has begun to read. */
-  Task<bool> Take(std::string aToken);
+  Task<bool> WriteToken(std::string aToken);
   /** Takes what another daemon had of the answer, if it agrees with what the
    * caller has; otherwise takes nothing. Precondition: a resume point. */
-  Task<bool> TakeAll(const std::vector<std::string>& aTokens);
+  Task<bool> ReplayTokens(const std::vector<std::string>& aTokens);
   /** Ends the stream; one that was handed over is left without an end, so that
    * the caller sees it cut and resumes elsewhere. */
-  Task<void> End(const CallEnd& aEnd);
+  Task<void> End(const RequestResult& aEnd);
 
-  [[nodiscard]] bool Mismatch() const { return this->mismatch; }
+  [[nodiscard]] bool HasMismatch() const { return this->mismatch; }
 
 private:
-  Task<bool> Begin();
+  Task<bool> SendHead();
 
   const ModelRequest& request;
-  std::optional<ResumePoint> resume;
+  std::optional<ResumePoint> resumePoint;
   HttpResponder& responder;
-  std::uint64_t count = 0;
-  std::uint64_t hash = 0;
+  std::uint64_t tokenCount = 0;
+  std::uint64_t tokenHash = 0;
   bool mismatch = false;
 };
 
--- a/src/daemon/Apply.cpp
+++ b/src/daemon/ConfigChange.cpp
@@ -1,6 +1,6 @@
-#include "Apply.h"
+#include "ConfigChange.h"
 
-#include "coord/Document.h"
+#include "coord/DocumentValidation.h"
 #include "edge/HttpExchange.h"
 
 #include <boost/json.hpp>
@@ -13,25 +13,25 @@
 
 namespace {
 
-constexpr Millis kConfirmPatience{ 8000 };
-constexpr Millis kEverywherePatience{ 10000 };
-constexpr Millis kAskAgain{ 50 };
+constexpr Millis kConfirmTimeout{ 8000 };
+constexpr Millis kPropagationTimeout{ 10000 };
+constexpr Millis kAppliedPollInterval{ 50 };
 
-HttpReply
+HttpResponse
 ErrorReply(unsigned aStatus, const std::string& aMessage)
 {
-  return MakeReply(
+  return MakeResponse(
     aStatus, json::serialize(json::object{ { "error", aMessage } }) + "\n");
 }
 
-Task<std::optional<ChangeVerdict>>
-AwaitVerdict(DaemonState& aState, Worker& aWorker, std::string aChangeId)
+Task<std::optional<ChangeResult>>
+AwaitChangeResult(DaemonState& aState, Worker& aWorker, std::string aChangeId)
 {
-  std::optional<ChangeVerdict> verdict;
-  const TimePoint limit = aState.Now() + kConfirmPatience;
-  co_await AwaitFolded(aState, aWorker, limit, [&] {
-    verdict = aState.control.With([&](ControlReader& aReader) {
-      return aReader.Table().VerdictOn(aChangeId);
+  std::optional<ChangeResult> verdict;
+  const TimePoint limit = aState.Now() + kConfirmTimeout;
+  co_await AwaitApplied(aState, aWorker, limit, [&] {
+    verdict = aState.control.WithLock([&](ControlReader& aReader) {
+      return aReader.Table().ResultOf(aChangeId);
     });
     return verdict.has_value();
   });
@@ -61,13 +61,13 @@
 
 /** Waits for the daemons that are alive; \return ids of those behind. */
 Task<std::vector<std::string>>
-AwaitEverywhere(DaemonState& aState, Worker& aWorker, Position aRevision)
+AwaitAllDaemons(DaemonState& aState, Worker& aWorker, Position aRevision)
 {
-  const TimePoint limit = aState.Now() + kEverywherePatience;
+  const TimePoint limit = aState.Now() + kPropagationTimeout;
   std::set<std::string> done;
   while (true) {
     std::vector<std::pair<std::string, std::string>> others;
-    aState.members.With([&](Membership& aMembers) {
+    aState.membership.WithLock([&](Membership& aMembers) {
       for (const auto& [id, view] : aMembers.Others()) {
         if (view.member.status() != peer::DEAD && done.count(id) == 0) {
           others.emplace_back(id, view.member.operator_address());
@@ -86,14 +86,16 @@
     if (behind.empty() || aState.Now() >= limit) {
       co_return behind;
     }
-    co_await Sleep(kAskAgain);
+    co_await Sleep(kAppliedPollInterval);
   }
 }
 
 } // namespace
 
-Task<HttpReply>
-ApplyChange(DaemonState& aState, Worker& aWorker, const HttpRequest& aRequest)
+Task<HttpResponse>
+ApplyConfigChange(DaemonState& aState,
+                  Worker& aWorker,
+                  const HttpRequest& aRequest)
 {
   records::Record record;
   records::ConfigChange* change = record.mutable_config();
@@ -102,17 +104,17 @@
   if (!status.ok()) {
     co_return ErrorReply(400, std::string(status.message()));
   }
-  const auto complaints = CheckDocument(change->document(), "document");
+  const auto complaints = ValidateDocument(change->document(), "document");
   if (!complaints.empty()) {
-    co_return ErrorReply(422, Describe(complaints));
+    co_return ErrorReply(422, FormatValidationErrors(complaints));
   }
   const std::string changeId = aState.NewId("c");
   change->set_change_id(changeId);
   change->set_written_ms(static_cast<std::uint64_t>(aState.Now().ms));
-  aState.control.With(
+  aState.control.WithLock(
     [&](ControlReader& aReader) { aReader.Queue().Add(std::move(record)); });
-  aState.appended.NotifyAll();
-  const auto verdict = co_await AwaitVerdict(aState, aWorker, changeId);
+  aState.appendRequested.NotifyAll();
+  const auto verdict = co_await AwaitChangeResult(aState, aWorker, changeId);
   if (!verdict) {
     co_return ErrorReply(
       503, "the log has not confirmed; the change may still come into force");
@@ -121,15 +123,15 @@
     co_return ErrorReply(409, verdict->reason);
   }
   json::object answer{ { "revision", verdict->revision.value } };
-  if (QueryOf(aRequest.target(), "wait") == "1") {
+  if (QueryParamOf(aRequest.target(), "wait") == "1") {
     json::array behind;
     for (const std::string& id :
-         co_await AwaitEverywhere(aState, aWorker, verdict->revision)) {
+         co_await AwaitAllDaemons(aState, aWorker, verdict->revision)) {
       behind.push_back(json::string(id));
     }
     answer["behind"] = behind;
   }
-  co_return MakeReply(200, json::serialize(answer) + "\n");
+  co_return MakeResponse(200, json::serialize(answer) + "\n");
 }
 
 } // namespace toucanshed
--- a/src/daemon/Apply.h
+++ b/src/daemon/ConfigChange.h
@@ -19,7 +19,9 @@
  *
  * Thread safety: may be called on any worker.
  */
-Task<HttpReply>
-ApplyChange(DaemonState& aState, Worker& aWorker, const HttpRequest& aRequest);
+Task<HttpResponse>
+ApplyConfigChange(DaemonState& aState,
+                  Worker& aWorker,
+                  const HttpRequest& aRequest);
 
 } // namespace toucanshed
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -1,12 +1,12 @@
 #include "Daemon.h"
 
 #include "BackendWatcher.h"
-#include "CallerAnswers.h"
 #include "CallerApi.h"
+#include "CallerResponses.h"
 #include "LogStreams.h"
-#include "MoveDriver.h"
 #include "OperatorApi.h"
-#include "SnapshotKeeper.h"
+#include "RolloutDriver.h"
+#include "SnapshotWriter.h"
 #include "WorkRunner.h"
 #include "edge/HttpExchange.h"
 
@@ -20,18 +20,18 @@
 
 namespace {
 
-constexpr Millis kDrainLook{ 50 };
+constexpr Millis kDrainPollInterval{ 50 };
 /** Time for streams to be handed over and their callers' connections closed. */
 constexpr Millis kHandoverTime{ 3000 };
-constexpr Millis kAskPeersEvery{ 500 };
+constexpr Millis kPeerFetchInterval{ 500 };
 
 HttpLimits
-CallerLimits(DaemonState& aState)
+MakeCallerLimits(DaemonState& aState)
 {
   HttpLimits limits;
-  limits.bodyBytes = aState.settings.maxBodyBytes;
-  limits.onRefusal = [&aState](HttpReply& aReply) {
-    aReply.set(kRequestHeader, aState.NewId("r"));
+  limits.maxBodyBytes = aState.settings.maxBodyBytes;
+  limits.onRejection = [&aState](HttpResponse& aReply) {
+    aReply.set(kRequestIdHeader, aState.NewId("r"));
     aState.metrics.Count("toucanshed_bad_input_total");
   };
   return limits;
@@ -42,21 +42,22 @@
 Daemon::Daemon(Settings aSettings, std::uint64_t aIncarnation)
   : state(std::move(aSettings), aIncarnation)
   , peers(state)
-  , callers(state.pool,
-            CallerLimits(state),
-            [this](Worker& aWorker,
-                   const HttpRequest& aRequest,
-                   HttpResponder& aResponder) {
-              return HandleCaller(this->state, aWorker, aRequest, aResponder);
-            })
-  , operators(state.pool,
-              HttpLimits{},
-              [this](Worker& aWorker,
-                     const HttpRequest& aRequest,
-                     HttpResponder& aResponder) {
-                return HandleOperator(
-                  this->state, this->peers, aWorker, aRequest, aResponder);
-              })
+  , callerServer(state.pool,
+                 MakeCallerLimits(state),
+                 [this](Worker& aWorker,
+                        const HttpRequest& aRequest,
+                        HttpResponder& aResponder) {
+                   return HandleCaller(
+                     this->state, aWorker, aRequest, aResponder);
+                 })
+  , operatorServer(state.pool,
+                   HttpLimits{},
+                   [this](Worker& aWorker,
+                          const HttpRequest& aRequest,
+                          HttpResponder& aResponder) {
+                     return HandleOperator(
+                       this->state, this->peers, aWorker, aRequest, aResponder);
+                   })
   , signals(state.pool.First().context, SIGTERM, SIGINT)
 {
 }
@@ -64,9 +65,10 @@
 Result<void>
 Daemon::Start()
 {
-  auto listening = this->operators.Listen(this->state.settings.operators);
+  auto listening =
+    this->operatorServer.Listen(this->state.settings.operatorEndpoint);
   if (listening) {
-    listening = this->callers.Listen(this->state.settings.callers);
+    listening = this->callerServer.Listen(this->state.settings.callerEndpoint);
   }
   if (listening) {
     listening = this->peers.Start(this->state.pool.Next());
@@ -78,15 +80,15 @@
   Worker& watcher = this->state.pool.Next();
   watcher.Spawn(WatchBackends(this->state, watcher));
   Worker& runner = this->state.pool.Next();
-  runner.Spawn(RunOwnedWork(this->state, runner));
-  this->state.pool.Next().Spawn(DriveMoves(this->state));
-  this->state.pool.Next().Spawn(KeepSnapshots(this->state));
-  this->state.pool.First().Spawn(this->TakeControlFromPeers());
+  runner.Spawn(RunAssignedWork(this->state, runner));
+  this->state.pool.Next().Spawn(DriveRollouts(this->state));
+  this->state.pool.Next().Spawn(WriteSnapshots(this->state));
+  this->state.pool.First().Spawn(this->FetchControlFromPeers());
   this->state.pool.First().Spawn(this->StopOnSignal());
   this->state.events.Emit(
     Event("daemon.started")
-      .With("callers", ToText(this->state.settings.callers))
-      .With("operators", ToText(this->state.settings.operators)));
+      .With("callers", ToText(this->state.settings.callerEndpoint))
+      .With("operators", ToText(this->state.settings.operatorEndpoint)));
   return {};
 }
 
@@ -98,21 +100,21 @@
 }
 
 Task<void>
-Daemon::TakeControlFromPeers()
+Daemon::FetchControlFromPeers()
 {
   // Only while the log has not told what is in force: a daemon that starts in
   // an outage would else be of no use until its end.
   Worker& worker = this->state.pool.First();
-  while (!this->state.controlKnown) {
+  while (!this->state.controlLoaded) {
     std::vector<std::string> addresses;
-    this->state.members.With([&](Membership& aMembers) {
+    this->state.membership.WithLock([&](Membership& aMembers) {
       for (const auto& [id, view] : aMembers.Others()) {
         addresses.push_back(view.member.operator_address());
       }
     });
     for (const std::string& address : addresses) {
       const auto endpoint = ParseEndpoint(address);
-      if (!endpoint || this->state.controlKnown) {
+      if (!endpoint || this->state.controlLoaded) {
         continue;
       }
       HttpRequest request = MakeRequest(http::verb::get, "/control-snapshot");
@@ -123,15 +125,15 @@
                          snapshot.ParseFromString(reply->body()) &&
                          snapshot.covers() > 0;
       if (known) {
-        this->state.control.With(
-          [&](ControlReader& aReader) { aReader.TakeSnapshot(snapshot); });
-        this->state.controlKnown = true;
+        this->state.control.WithLock(
+          [&](ControlReader& aReader) { aReader.LoadSnapshot(snapshot); });
+        this->state.controlLoaded = true;
         this->state.events.Emit(Event("control.from_peer")
                                   .With("peer", address)
                                   .With("revision", snapshot.covers()));
       }
     }
-    co_await Sleep(kAskPeersEvery);
+    co_await Sleep(kPeerFetchInterval);
   }
 }
 
@@ -149,11 +151,11 @@
 }
 
 Task<void>
-Daemon::AwaitCallers(Millis aTime)
+Daemon::WaitForCallers(Millis aTime)
 {
   const TimePoint limit = this->state.Now() + aTime;
-  while (this->callers.InProgress() > 0 && this->state.Now() < limit) {
-    co_await Sleep(kDrainLook);
+  while (this->callerServer.InProgress() > 0 && this->state.Now() < limit) {
+    co_await Sleep(kDrainPollInterval);
   }
 }
 
@@ -164,23 +166,25 @@
   this->state.events.Emit(Event("daemon.stopping"));
   this->peers.AnnounceLeaving();
   // The balancer still sends callers until it has seen "not ready".
-  co_await Sleep(this->state.settings.balancerDelay);
-  this->callers.Close();
-  co_await this->AwaitCallers(this->state.settings.drain);
+  co_await Sleep(this->state.settings.balancerRemovalDelay);
+  this->callerServer.Close();
+  co_await this->WaitForCallers(this->state.settings.drainTimeout);
   this->state.handingOver = true;
-  co_await this->AwaitCallers(kHandoverTime);
+  co_await this->WaitForCallers(kHandoverTime);
   const auto unsettled = [this] {
-    const auto claims = this->state.claims.With(
-      [](ClaimCoordinator& aClaims) { return aClaims.Queue().Unsettled(); });
-    return claims + this->state.work.With([](WorkTable& aWork) {
-      return aWork.Queue().Unsettled();
+    const auto claims =
+      this->state.claims.WithLock([](ClaimCoordinator& aClaims) {
+        return aClaims.Queue().UncommittedRecords();
+      });
+    return claims + this->state.work.WithLock([](WorkTable& aWork) {
+      return aWork.Queue().UncommittedRecords();
     });
   };
   // Outcomes not yet in the log are worth a short wait: with them a repeated
   // key gets its answer, without them "may have run".
   const TimePoint logLimit = this->state.Now() + Millis(5000);
   while (unsettled() > 0 && this->state.Now() < logLimit) {
-    co_await Sleep(kDrainLook);
+    co_await Sleep(kDrainPollInterval);
   }
   this->state.events.Emit(Event("daemon.stopped"));
   this->state.pool.Stop();
--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -33,13 +33,13 @@
   Task<void> StopOnSignal();
   Task<void> StopGracefully();
   /** Waits until no caller's request is in progress, or the time is over. */
-  Task<void> AwaitCallers(Millis aTime);
-  Task<void> TakeControlFromPeers();
+  Task<void> WaitForCallers(Millis aTime);
+  Task<void> FetchControlFromPeers();
 
   DaemonState state;
   PeerExchange peers;
-  HttpServer callers;
-  HttpServer operators;
+  HttpServer callerServer;
+  HttpServer operatorServer;
   boost::asio::signal_set signals;
 };
 
--- a/src/daemon/DaemonState.cpp
+++ b/src/daemon/DaemonState.cpp
@@ -15,7 +15,7 @@
 }
 
 peer::Member
-SelfOf(const Settings& aSettings, std::uint64_t aIncarnation)
+MakeSelfMember(const Settings& aSettings, std::uint64_t aIncarnation)
 {
   peer::Member self;
   self.set_id(aSettings.id.value);
@@ -23,7 +23,7 @@
   self.set_life(aIncarnation);
   self.set_address(aSettings.peerAddress);
   self.set_zone(aSettings.zone.value);
-  self.set_operator_address(ToText(aSettings.operators));
+  self.set_operator_address(ToText(aSettings.operatorEndpoint));
   return self;
 }
 
@@ -33,17 +33,17 @@
   : settings(std::move(aSettings))
   , writer{ settings.id.value + "/" + std::to_string(aIncarnation) }
   , events(settings.id.value, &WallNow)
-  , pool(settings.workers)
-  , log(MakeHttpLog(settings.log))
+  , pool(settings.workerCount)
+  , log(MakeHttpLogClient(settings.logEndpoint))
   , control(writer)
-  , claims(writer, settings.keyWindow)
+  , claims(writer, settings.idempotencyWindow)
   , work(writer)
-  , members(SelfOf(settings, aIncarnation),
-            MembershipTiming{},
-            Random(aIncarnation))
+  , membership(MakeSelfMember(settings, aIncarnation),
+               MembershipTiming{},
+               Random(aIncarnation))
   , evidence(writer.value)
   , router(Random(aIncarnation))
-  , gate(router, &WallNow)
+  , admission(router, &WallNow)
 {
 }
 
@@ -63,57 +63,57 @@
 }
 
 bool
-DaemonState::State(const FactEntry& aFact)
+DaemonState::PublishFact(const FactEntry& aFact)
 {
   const TimePoint now = this->Now();
-  const bool news = this->caution.With(
-    [&](Caution& aCaution) { return aCaution.facts.Add(aFact, now); });
+  const bool news = this->factTables.WithLock(
+    [&](FactTables& aCaution) { return aCaution.facts.Add(aFact, now); });
   if (news) {
     this->events.Emit(Event("fact.stated").With("fact", aFact.key));
-    this->spreadFacts();
+    this->gossipFacts();
   }
   return news;
 }
 
 bool
-DaemonState::Holds(const std::string& aFactKey)
+DaemonState::HasFact(const std::string& aFactKey)
 {
-  return this->caution.With(
-    [&](Caution& aCaution) { return aCaution.facts.Holds(aFactKey); });
+  return this->factTables.WithLock(
+    [&](FactTables& aCaution) { return aCaution.facts.Contains(aFactKey); });
 }
 
 Task<bool>
-AwaitFolded(DaemonState& aState,
-            Worker& aWorker,
-            TimePoint aLimit,
-            std::function<bool()> aDone)
+AwaitApplied(DaemonState& aState,
+             Worker& aWorker,
+             TimePoint aLimit,
+             std::function<bool()> aDone)
 {
   // Woken by each fold; the period covers what changes without one.
   constexpr Millis kLookEvery{ 100 };
   while (true) {
-    const std::uint64_t seen = aState.folded.Version();
+    const std::uint64_t seen = aState.recordsApplied.Version();
     if (aDone()) {
       co_return true;
     }
     if (aState.Now() >= aLimit) {
       co_return false;
     }
-    co_await aState.folded.WaitSince(seen, aWorker, kLookEvery);
+    co_await aState.recordsApplied.WaitForChange(seen, aWorker, kLookEvery);
   }
 }
 
 std::string
-TakenBackFact(Position aMove, const std::string& aReason)
+RollbackFact(Position aMove, const std::string& aReason)
 {
   return "taken-back/" + std::to_string(aMove.value) + "/" + aReason;
 }
 
 std::optional<std::string>
-TakenBackReason(DaemonState& aState, Position aMove)
+RollbackReason(DaemonState& aState, Position aMove)
 {
-  const std::string prefix = TakenBackFact(aMove, {});
-  return aState.caution.With(
-    [&](Caution& aCaution) -> std::optional<std::string> {
+  const std::string prefix = RollbackFact(aMove, {});
+  return aState.factTables.WithLock(
+    [&](FactTables& aCaution) -> std::optional<std::string> {
       const auto facts = aCaution.facts.WithPrefix(prefix);
       if (facts.empty()) {
         return std::nullopt;
--- a/src/daemon/DaemonState.h
+++ b/src/daemon/DaemonState.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "Gate.h"
+#include "AdmissionController.h"
 #include "Settings.h"
 #include "base/EventLog.h"
 #include "base/Guarded.h"
@@ -13,11 +13,11 @@
 #include "coord/FactSet.h"
 #include "coord/HandoverTable.h"
 #include "coord/Membership.h"
-#include "coord/MoveTurns.h"
 #include "coord/RetryBudget.h"
+#include "coord/StreamMigrationQueue.h"
 #include "coord/SuspectTable.h"
 #include "coord/WorkTable.h"
-#include "edge/LogAccess.h"
+#include "edge/LogClient.h"
 #include "edge/Metrics.h"
 #include "edge/Notifier.h"
 #include "edge/WorkerPool.h"
@@ -28,12 +28,12 @@
 namespace toucanshed {
 
 /** Facts heard and what is kept beside them, under one lock. */
-struct Caution
+struct FactTables
 {
   FactSet facts;
   SuspectTable suspects;
-  MoveTurns turns;
-  HandoverTable handed;
+  StreamMigrationQueue migrations;
+  HandoverTable handovers;
 };
 
 /**
@@ -50,42 +50,42 @@
   /** A new id, unique over daemons and their lives. */
   std::string NewId(const char* aKind);
   /** States a fact here and sends it to peers. \return whether it is news. */
-  bool State(const FactEntry& aFact);
-  bool Holds(const std::string& aFactKey);
+  bool PublishFact(const FactEntry& aFact);
+  bool HasFact(const std::string& aFactKey);
 
   const Settings settings;
   const WriterId writer;
   EventLog events;
   Metrics metrics;
   WorkerPool pool;
-  LogAccess log;
-  Notifier folded;   // a table folded something from the log
-  Notifier appended; // a record waits to be appended
+  LogClient log;
+  Notifier recordsApplied;  // a table folded something from the log
+  Notifier appendRequested; // a record waits to be appended
 
   Guarded<ControlReader, LockRank::eControl> control;
   Guarded<ClaimCoordinator, LockRank::eClaims> claims;
   Guarded<WorkTable, LockRank::eWork> work;
-  Guarded<Membership, LockRank::eMembers> members;
+  Guarded<Membership, LockRank::eMembers> membership;
   Guarded<EvidenceTable, LockRank::eEvidence> evidence;
-  Guarded<Caution, LockRank::eSuspects> caution;
+  Guarded<FactTables, LockRank::eFactTables> factTables;
   SharedRouter router;
-  Guarded<RetryBudget, LockRank::eMetrics> retries;
-  Gate gate;
+  Guarded<RetryBudget, LockRank::eRetryBudget> retryBudget;
+  AdmissionController admission;
 
   /** Called without a lock when a fact was stated; set before the workers
    * start. */
-  std::function<void()> spreadFacts = [] {};
+  std::function<void()> gossipFacts = [] {};
   /** Sends to a peer without waiting; set before the workers start. */
   std::function<void(OutgoingEnvelope)> sendToPeer = [](OutgoingEnvelope) {};
 
   /** Grows whenever a back end turns out to be leaving, so that streams need
    * not look at the router for every token. */
-  std::atomic<std::uint64_t> leavings{ 0 };
+  std::atomic<std::uint64_t> leavingChanges{ 0 };
   std::atomic<bool> stopping{ false };
   /** The time to finish is over: streams go to peers. */
   std::atomic<bool> handingOver{ false };
-  std::atomic<bool> controlKnown{ false };
-  std::atomic<std::int64_t> logHeardMs{ 0 };
+  std::atomic<bool> controlLoaded{ false };
+  std::atomic<std::int64_t> logLastReadMs{ 0 };
   std::atomic<std::uint64_t> inFlight{ 0 };
 
 private:
@@ -96,18 +96,18 @@
  * \param aDone looks for it, under whatever lock it takes itself.
  * \return false when the limit came first. */
 Task<bool>
-AwaitFolded(DaemonState& aState,
-            Worker& aWorker,
-            TimePoint aLimit,
-            std::function<bool()> aDone);
+AwaitApplied(DaemonState& aState,
+             Worker& aWorker,
+             TimePoint aLimit,
+             std::function<bool()> aDone);
 
 /** Keys of facts. That a move is taken back bears the reason, which the daemon
  * that records the end may not have seen itself. */
 std::string
-TakenBackFact(Position aMove, const std::string& aReason);
+RollbackFact(Position aMove, const std::string& aReason);
 /** The reason, if the move is known here to be taken back. */
 std::optional<std::string>
-TakenBackReason(DaemonState& aState, Position aMove);
+RollbackReason(DaemonState& aState, Position aMove);
 std::string
 LeavingFact(const std::string& aLife);
 
--- a/src/daemon/Handover.cpp
+++ b/src/daemon/Handover.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr std::size_t kHolders = 2;
+constexpr std::size_t kHandoverReplicas = 2;
 /** Peers asked for a stream: its holders, and some that may have been ranked
  * before them when it was handed over. */
-constexpr std::size_t kMostAsked = 4;
-constexpr Millis kAskTimeout{ 300 };
+constexpr std::size_t kMaxPeersAsked = 4;
+constexpr Millis kLookupTimeout{ 300 };
 
 /** The other daemons that own work, the likeliest holder first. */
 std::vector<peer::Member>
-Ranked(DaemonState& aState, const RequestId& aRequest)
+PeersByRank(DaemonState& aState, const RequestId& aRequest)
 {
   std::vector<peer::Member> ranked;
-  aState.members.With([&](Membership& aMembers) {
+  aState.membership.WithLock([&](Membership& aMembers) {
     for (const auto& [id, view] : aMembers.Others()) {
       if (view.member.status() == peer::ALIVE) {
         ranked.push_back(view.member);
@@ -35,22 +35,22 @@
 }
 
 std::vector<peer::Member>
-HoldersOf(DaemonState& aState, const RequestId& aRequest)
+ReplicaPeersOf(DaemonState& aState, const RequestId& aRequest)
 {
   std::vector<peer::Member> holders;
   std::vector<peer::Member> others;
   std::set<std::string> zones{ aState.settings.zone.value };
-  for (peer::Member& member : Ranked(aState, aRequest)) {
+  for (peer::Member& member : PeersByRank(aState, aRequest)) {
     const bool fresh = zones.insert(member.zone()).second;
     (fresh ? holders : others).push_back(std::move(member));
   }
   holders.insert(holders.end(), others.begin(), others.end());
-  holders.resize(std::min(holders.size(), kHolders));
+  holders.resize(std::min(holders.size(), kHandoverReplicas));
   return holders;
 }
 
 peer::Handover
-MessageOf(const HandedStream& aStream)
+MakeHandoverMessage(const HandedOverStream& aStream)
 {
   peer::Handover message;
   message.set_request(aStream.request.value);
@@ -60,37 +60,38 @@
   return message;
 }
 
-HandedStream
-StreamOf(const peer::Handover& aMessage)
+HandedOverStream
+ParseHandoverMessage(const peer::Handover& aMessage)
 {
-  return HandedStream{ RequestId{ aMessage.request() },
-                       { aMessage.tokens().begin(), aMessage.tokens().end() } };
+  return HandedOverStream{ RequestId{ aMessage.request() },
+                           { aMessage.tokens().begin(),
+                             aMessage.tokens().end() } };
 }
 
-std::optional<HandedStream>
-FindHere(DaemonState& aState, const RequestId& aRequest)
+std::optional<HandedOverStream>
+FindLocal(DaemonState& aState, const RequestId& aRequest)
 {
-  return aState.caution.With(
-    [&](Caution& aCaution) -> std::optional<HandedStream> {
-      const HandedStream* found = aCaution.handed.Find(aRequest);
+  return aState.factTables.WithLock(
+    [&](FactTables& aCaution) -> std::optional<HandedOverStream> {
+      const HandedOverStream* found = aCaution.handovers.Find(aRequest);
       return found == nullptr ? std::nullopt
-                              : std::optional<HandedStream>(*found);
+                              : std::optional<HandedOverStream>(*found);
     });
 }
 
 } // namespace
 
 void
-HandOver(DaemonState& aState, const HandedStream& aStream)
+HandOverStream(DaemonState& aState, const HandedOverStream& aStream)
 {
-  for (const peer::Member& holder : HoldersOf(aState, aStream.request)) {
+  for (const peer::Member& holder : ReplicaPeersOf(aState, aStream.request)) {
     OutgoingEnvelope message;
     message.address = holder.address();
     message.envelope.set_kind(peer::Envelope::FACTS);
-    aState.members.With([&](Membership& aMembers) {
+    aState.membership.WithLock([&](Membership& aMembers) {
       *message.envelope.mutable_from() = aMembers.Self();
     });
-    *message.envelope.add_handovers() = MessageOf(aStream);
+    *message.envelope.add_handovers() = MakeHandoverMessage(aStream);
     aState.sendToPeer(std::move(message));
     aState.events.Emit(Event("stream.handed_over")
                          .With("request", aStream.request)
@@ -100,40 +101,41 @@
 }
 
 void
-KeepHandedOver(DaemonState& aState, const peer::Envelope& aEnvelope)
+StoreHandedOver(DaemonState& aState, const peer::Envelope& aEnvelope)
 {
   const TimePoint now = aState.Now();
-  aState.caution.With([&](Caution& aCaution) {
+  aState.factTables.WithLock([&](FactTables& aCaution) {
     for (const peer::Handover& handover : aEnvelope.handovers()) {
-      aCaution.handed.Add(StreamOf(handover), now);
+      aCaution.handovers.Add(ParseHandoverMessage(handover), now);
     }
   });
 }
 
 std::string
-HandedOverBytes(DaemonState& aState, const RequestId& aRequest)
+SerializeHandedOver(DaemonState& aState, const RequestId& aRequest)
 {
-  const auto found = FindHere(aState, aRequest);
-  return found ? MessageOf(*found).SerializeAsString() : std::string{};
+  const auto found = FindLocal(aState, aRequest);
+  return found ? MakeHandoverMessage(*found).SerializeAsString()
+               : std::string{};
 }
 
-Task<std::optional<HandedStream>>
-FindHandedOver(DaemonState& aState, Worker& aWorker, RequestId aRequest)
+Task<std::optional<HandedOverStream>>
+FindHandedOverStream(DaemonState& aState, Worker& aWorker, RequestId aRequest)
 {
-  auto found = FindHere(aState, aRequest);
+  auto found = FindLocal(aState, aRequest);
   if (found) {
     co_return found;
   }
-  std::vector<peer::Member> asked = Ranked(aState, aRequest);
-  asked.resize(std::min(asked.size(), kMostAsked));
+  std::vector<peer::Member> asked = PeersByRank(aState, aRequest);
+  asked.resize(std::min(asked.size(), kMaxPeersAsked));
   for (const peer::Member& member : asked) {
     const auto endpoint = ParseEndpoint(member.operator_address());
     if (!endpoint) {
       continue;
     }
     CallTimeouts timeouts;
-    timeouts.connect = kAskTimeout;
-    timeouts.head = kAskTimeout;
+    timeouts.connect = kLookupTimeout;
+    timeouts.head = kLookupTimeout;
     HttpRequest request =
       MakeRequest(http::verb::get, "/handed-over?request=" + aRequest.value);
     const auto reply =
@@ -143,7 +145,7 @@
                        handover.ParseFromString(reply->body()) &&
                        handover.request() == aRequest.value;
     if (holds) {
-      co_return StreamOf(handover);
+      co_return ParseHandoverMessage(handover);
     }
   }
   co_return std::nullopt;
--- a/src/daemon/Handover.h
+++ b/src/daemon/Handover.h
@@ -14,18 +14,18 @@
  * there are such: the wave that takes this instance may take the first peer
  * too. Thread safety: any thread. */
 void
-HandOver(DaemonState& aState, const HandedStream& aStream);
+HandOverStream(DaemonState& aState, const HandedOverStream& aStream);
 
 /** Keeps what a peer has handed over. Thread safety: any thread. */
 void
-KeepHandedOver(DaemonState& aState, const peer::Envelope& aEnvelope);
+StoreHandedOver(DaemonState& aState, const peer::Envelope& aEnvelope);
 
 /** Looks for a stream here, then at the peers that most likely hold it. */
-Task<std::optional<HandedStream>>
-FindHandedOver(DaemonState& aState, Worker& aWorker, RequestId aRequest);
+Task<std::optional<HandedOverStream>>
+FindHandedOverStream(DaemonState& aState, Worker& aWorker, RequestId aRequest);
 
 /** A stream that is held here, as the peers' protobuf; empty if it is not. */
 std::string
-HandedOverBytes(DaemonState& aState, const RequestId& aRequest);
+SerializeHandedOver(DaemonState& aState, const RequestId& aRequest);
 
 } // namespace toucanshed
--- a/src/daemon/LogStreams.cpp
+++ b/src/daemon/LogStreams.cpp
@@ -4,47 +4,48 @@
 
 namespace {
 
-constexpr Millis kReadWait{ 2000 };
+constexpr Millis kLongPollTime{ 2000 };
 constexpr Millis kRetryDelay{ 200 };
 /** A page with fewer entries than this reached the stream's end. */
-constexpr int kFullPage = 100;
+constexpr int kPageSize = 100;
 /** Records that come up within this time of each other share an append. */
 constexpr Millis kBatchDelay{ 4 };
-constexpr Millis kAppendIdle{ 1000 };
+constexpr Millis kAppendPollInterval{ 1000 };
 
 /** What a stream's coroutines do to its table, under the table's lock. */
 struct StreamHooks
 {
   std::string name;
-  std::function<void(std::uint64_t)> beginAt;
+  std::function<void(std::uint64_t)> setEarliestOffset;
   std::function<void(std::uint64_t, const records::Batch&)> apply;
   std::function<std::optional<records::Batch>()> nextToSend;
-  std::function<void()> unclear;
-  std::function<void(std::uint64_t)> settled;
+  std::function<void()> allowResend;
+  std::function<void(std::uint64_t)> markCommitted;
   /** Called when a read came back with less than a page may hold. */
-  std::function<void()> caughtUp;
+  std::function<void()> onCaughtUp;
 };
 
 /** Gives a table's queue to a function under the table's lock. */
 template<typename Table>
 StreamHooks
-HooksOf(std::string aName, Table& aTable)
+MakeHooks(std::string aName, Table& aTable)
 {
   StreamHooks hooks;
   hooks.name = std::move(aName);
-  hooks.beginAt = [](std::uint64_t) {};
-  hooks.caughtUp = [] {};
+  hooks.setEarliestOffset = [](std::uint64_t) {};
+  hooks.onCaughtUp = [] {};
   hooks.apply = [&aTable](std::uint64_t aOffset, const records::Batch& aBatch) {
-    aTable.With([&](auto& aFold) { aFold.Apply(aOffset, aBatch); });
+    aTable.WithLock([&](auto& aFold) { aFold.Apply(aOffset, aBatch); });
   };
   hooks.nextToSend = [&aTable] {
-    return aTable.With([](auto& aFold) { return aFold.Queue().NextToSend(); });
+    return aTable.WithLock(
+      [](auto& aFold) { return aFold.Queue().NextToSend(); });
   };
-  hooks.unclear = [&aTable] {
-    aTable.With([](auto& aFold) { aFold.Queue().Unclear(); });
+  hooks.allowResend = [&aTable] {
+    aTable.WithLock([](auto& aFold) { aFold.Queue().AllowResend(); });
   };
-  hooks.settled = [&aTable](std::uint64_t aSequence) {
-    aTable.With([&](auto& aFold) { aFold.Queue().Settled(aSequence); });
+  hooks.markCommitted = [&aTable](std::uint64_t aSequence) {
+    aTable.WithLock([&](auto& aFold) { aFold.Queue().MarkCommitted(aSequence); });
   };
   return hooks;
 }
@@ -73,7 +74,8 @@
   bool begun = false;
   bool answering = true;
   while (true) {
-    auto page = co_await aState.log.read(aWorker, aHooks.name, from, kReadWait);
+    auto page =
+      co_await aState.log.read(aWorker, aHooks.name, from, kLongPollTime);
     if (static_cast<bool>(page) != answering) {
       answering = static_cast<bool>(page);
       aState.events.Emit(Event(answering ? "log.answers" : "log.silent")
@@ -83,39 +85,40 @@
       co_await Sleep(kRetryDelay);
       continue;
     }
-    aState.logHeardMs = aState.Now().ms;
+    aState.logLastReadMs = aState.Now().ms;
     if (!begun) {
       begun = true;
-      aHooks.beginAt(page->earliest());
+      aHooks.setEarliestOffset(page->earliest());
     }
     ApplyPage(aState, aHooks, *page);
     from = page->next();
-    if (page->entries_size() < kFullPage) {
-      aHooks.caughtUp();
+    if (page->entries_size() < kPageSize) {
+      aHooks.onCaughtUp();
     }
-    aState.folded.NotifyAll();
+    aState.recordsApplied.NotifyAll();
   }
 }
 
 Task<void>
-AppendStream(DaemonState& aState, Worker& aWorker, StreamHooks aHooks)
+AppendToStream(DaemonState& aState, Worker& aWorker, StreamHooks aHooks)
 {
   while (true) {
-    const std::uint64_t seen = aState.appended.Version();
+    const std::uint64_t seen = aState.appendRequested.Version();
     const auto batch = aHooks.nextToSend();
     if (!batch) {
-      co_await aState.appended.WaitSince(seen, aWorker, kAppendIdle);
+      co_await aState.appendRequested.WaitForChange(
+        seen, aWorker, kAppendPollInterval);
       co_await Sleep(kBatchDelay);
       continue;
     }
     const auto done = co_await aState.log.append(
       aWorker, aHooks.name, batch->SerializeAsString());
     if (done) {
-      aHooks.settled(batch->sequence());
+      aHooks.markCommitted(batch->sequence());
       continue;
     }
     aState.metrics.Count("toucanshed_log_append_failures_total");
-    aHooks.unclear();
+    aHooks.allowResend();
     co_await Sleep(kRetryDelay);
   }
 }
@@ -126,7 +129,7 @@
   Worker& reader = aState.pool.Next();
   reader.Spawn(ReadStream(aState, reader, aHooks));
   Worker& writer = aState.pool.Next();
-  writer.Spawn(AppendStream(aState, writer, aHooks));
+  writer.Spawn(AppendToStream(aState, writer, aHooks));
 }
 
 } // namespace
@@ -134,28 +137,28 @@
 void
 StartLogStreams(DaemonState& aState)
 {
-  StreamHooks control = HooksOf(kControlStream, aState.control);
-  control.beginAt = [&aState](std::uint64_t aEarliest) {
-    aState.control.With(
-      [&](ControlReader& aReader) { aReader.BeginAt(aEarliest); });
+  StreamHooks control = MakeHooks(kControlStream, aState.control);
+  control.setEarliestOffset = [&aState](std::uint64_t aEarliest) {
+    aState.control.WithLock(
+      [&](ControlReader& aReader) { aReader.SetEarliestOffset(aEarliest); });
   };
-  control.caughtUp = [&aState] {
-    aState.controlKnown = aState.control.With(
-      [](ControlReader& aReader) { return aReader.Whole(); });
+  control.onCaughtUp = [&aState] {
+    aState.controlLoaded = aState.control.WithLock(
+      [](ControlReader& aReader) { return aReader.IsComplete(); });
   };
   const auto apply = control.apply;
   control.apply = [&aState, apply](std::uint64_t aOffset,
                                    const records::Batch& aBatch) {
     apply(aOffset, aBatch);
-    const Position applied = aState.control.With(
-      [](ControlReader& aReader) { return aReader.Table().Applied(); });
+    const Position applied = aState.control.WithLock(
+      [](ControlReader& aReader) { return aReader.Table().AppliedPosition(); });
     aState.events.Emit(Event("control.applied")
                          .With("revision", applied.value)
                          .With("writer", aBatch.writer()));
   };
   StartStream(aState, control);
-  StartStream(aState, HooksOf(kClaimStream, aState.claims));
-  StartStream(aState, HooksOf(kWorkStream, aState.work));
+  StartStream(aState, MakeHooks(kClaimStream, aState.claims));
+  StartStream(aState, MakeHooks(kWorkStream, aState.work));
 }
 
 } // namespace toucanshed
--- a/src/daemon/ModelAttempt.cpp
+++ b/src/daemon/ModelAttempt.cpp
@@ -6,43 +6,43 @@
 
 constexpr Millis kConnectTimeout{ 300 };
 constexpr Millis kFirstTokenTimeout{ 4000 };
-constexpr Millis kGapTimeout{ 1500 };
+constexpr Millis kTokenGapTimeout{ 1500 };
 constexpr Millis kProbeTimeout{ 400 };
-constexpr std::uint64_t kLettersPerToken = 5;
+constexpr std::uint64_t kBytesPerToken = 5;
 
 CallTimeouts
-Timeouts()
+EngineTimeouts()
 {
   CallTimeouts timeouts;
   timeouts.connect = kConnectTimeout;
   timeouts.head = kFirstTokenTimeout;
-  timeouts.gap = kGapTimeout;
+  timeouts.bodyIdle = kTokenGapTimeout;
   return timeouts;
 }
 
 } // namespace
 
 std::string
-ToText(AttemptEnd aEnd)
+ToText(AttemptStatus aEnd)
 {
   switch (aEnd) {
-    case AttemptEnd::eWhole:
+    case AttemptStatus::eComplete:
       return "whole";
-    case AttemptEnd::eCallerGone:
+    case AttemptStatus::eCallerDisconnected:
       return "caller_gone";
-    case AttemptEnd::eRefused:
+    case AttemptStatus::eRejected:
       return "refused";
-    case AttemptEnd::eUnreachable:
+    case AttemptStatus::eUnreachable:
       return "unreachable";
-    case AttemptEnd::eFailed:
+    case AttemptStatus::eFailed:
       return "failed";
-    case AttemptEnd::eStalled:
+    case AttemptStatus::eStalled:
       return "stalled";
-    case AttemptEnd::eMoving:
+    case AttemptStatus::eMigrating:
       return "moving";
-    case AttemptEnd::eHandingOver:
+    case AttemptStatus::eHandingOver:
       return "handing_over";
-    case AttemptEnd::eCrashed:
+    case AttemptStatus::eCrashed:
       return "crashed";
   }
   return "failed";
@@ -51,25 +51,25 @@
 std::uint64_t
 EstimateTokens(const std::string& aText)
 {
-  return aText.size() / kLettersPerToken;
+  return aText.size() / kBytesPerToken;
 }
 
 ModelAttempt::ModelAttempt(DaemonState& aState,
                            Worker& aWorker,
                            AttemptPlan aPlan,
-                           AnswerAssembler& aAnswer,
+                           ResponseAssembler& aAnswer,
                            TokenSink& aSink)
   : state(aState)
   , worker(aWorker)
   , plan(std::move(aPlan))
-  , answer(aAnswer)
+  , response(aAnswer)
   , sink(aSink)
   , id{ aState.NewId("a") }
 {
 }
 
 double
-ModelAttempt::Ms() const
+ModelAttempt::ElapsedMs() const
 {
   return std::chrono::duration<double, std::milli>(
            std::chrono::steady_clock::now() - this->start)
@@ -77,178 +77,182 @@
 }
 
 Task<AttemptResult>
-ModelAttempt::Run(std::optional<MoveOrigin>& aOrigin)
+ModelAttempt::Run(std::optional<MigrationSource>& aOrigin)
 {
-  co_await this->BringState(aOrigin);
-  this->answer.BeginAttempt(this->id);
+  co_await this->TransferState(aOrigin);
+  this->response.BeginAttempt(this->id);
   this->state.events.Emit(Event("attempt.sent")
                             .With("request", this->plan.request.id)
                             .With("attempt", this->id)
-                            .With("engine", this->plan.choice.Life())
+                            .With("engine", this->plan.choice.IncarnationKey())
                             .With("version", this->plan.choice.version)
-                            .With("from", this->answer.Count()));
-  EngineCall call;
+                            .With("from", this->response.TokenCount()));
+  GenerationRequest call;
   call.attempt = this->id;
   call.prompt = this->plan.request.prompt;
   call.maxTokens = this->plan.request.maxTokens;
   call.priority = this->plan.priority;
-  call.resumeFrom = this->answer.Count();
-  call.resumeText = this->answer.Text();
+  call.resumeFrom = this->response.TokenCount();
+  call.resumeText = this->response.Text();
   this->start = std::chrono::steady_clock::now();
   auto opened = co_await OpenEngineStream(
-    this->worker, this->plan.choice.address, std::move(call), Timeouts());
+    this->worker, this->plan.choice.address, std::move(call), EngineTimeouts());
   std::unique_ptr<EngineStream> stream;
   if (opened) {
     stream = std::make_unique<EngineStream>(std::move(*opened));
     this->result.sent = true;
-    this->result.end = co_await this->Read(*stream);
+    this->result.status = co_await this->ReadTokens(*stream);
   } else {
-    this->result.end = this->EndOf(opened.error());
-    this->result.sent = this->result.end != AttemptEnd::eUnreachable &&
-                        this->result.end != AttemptEnd::eRefused;
+    this->result.status = this->StatusOf(opened.error());
+    this->result.sent = this->result.status != AttemptStatus::eUnreachable &&
+                        this->result.status != AttemptStatus::eRejected;
   }
-  if (this->result.end == AttemptEnd::eStalled) {
-    const bool lives = co_await this->StillLives();
-    this->result.end = lives ? AttemptEnd::eStalled : AttemptEnd::eCrashed;
+  if (this->result.status == AttemptStatus::eStalled) {
+    const bool lives = co_await this->IsEngineAlive();
+    this->result.status =
+      lives ? AttemptStatus::eStalled : AttemptStatus::eCrashed;
   }
-  const bool abandoned = this->result.end == AttemptEnd::eStalled ||
-                         this->result.end == AttemptEnd::eCallerGone ||
-                         this->result.end == AttemptEnd::eHandingOver;
+  const bool abandoned =
+    this->result.status == AttemptStatus::eStalled ||
+    this->result.status == AttemptStatus::eCallerDisconnected ||
+    this->result.status == AttemptStatus::eHandingOver;
   if (abandoned) {
     co_await CancelEngineAttempt(
       this->worker, this->plan.choice.address, this->id);
   }
-  if (this->result.end == AttemptEnd::eMoving) {
+  if (this->result.status == AttemptStatus::eMigrating) {
     aOrigin.emplace(
-      MoveOrigin{ this->plan.choice, this->id, std::move(stream) });
-  } else if (this->onLeaving) {
-    this->LeaveTurns(this->plan.choice.Life());
+      MigrationSource{ this->plan.choice, this->id, std::move(stream) });
+  } else if (this->engineLeaving) {
+    this->LeaveMigrationQueue(this->plan.choice.IncarnationKey());
   }
-  this->result.totalMs = this->Ms();
+  this->result.totalMs = this->ElapsedMs();
   co_return this->result;
 }
 
 Task<void>
-ModelAttempt::BringState(std::optional<MoveOrigin>& aOrigin)
+ModelAttempt::TransferState(std::optional<MigrationSource>& aOrigin)
 {
-  if (this->answer.Count() > 0) {
+  if (this->response.TokenCount() > 0) {
     this->state.metrics.Count("toucanshed_resumed_tokens_total",
                               {},
-                              this->answer.Count() +
+                              this->response.TokenCount() +
                                 EstimateTokens(this->plan.request.prompt));
   }
   if (!aOrigin) {
     co_return;
   }
-  const bool held = co_await TransferEngineState(this->worker,
-                                                 aOrigin->choice.address,
-                                                 this->plan.choice.address,
-                                                 aOrigin->attempt,
-                                                 this->answer.Count());
+  const bool held = co_await TransferKvCache(this->worker,
+                                             aOrigin->choice.address,
+                                             this->plan.choice.address,
+                                             aOrigin->attempt,
+                                             this->response.TokenCount());
   this->state.events.Emit(Event("stream.moved")
                             .With("request", this->plan.request.id)
-                            .With("from", aOrigin->choice.Life())
-                            .With("to", this->plan.choice.Life())
-                            .With("tokens", this->answer.Count())
+                            .With("from", aOrigin->choice.IncarnationKey())
+                            .With("to", this->plan.choice.IncarnationKey())
+                            .With("tokens", this->response.TokenCount())
                             .With("state", held ? "imported" : "recomputed"));
   this->state.metrics.Count("toucanshed_streams_moved_total",
                             held ? "state=\"imported\""
                                  : "state=\"recomputed\"");
-  this->LeaveTurns(aOrigin->choice.Life());
+  this->LeaveMigrationQueue(aOrigin->choice.IncarnationKey());
   aOrigin.reset();
 }
 
-Task<AttemptEnd>
-ModelAttempt::Read(EngineStream& aStream)
+Task<AttemptStatus>
+ModelAttempt::ReadTokens(EngineStream& aStream)
 {
-  const std::uint64_t before = this->answer.Count();
+  const std::uint64_t before = this->response.TokenCount();
   while (true) {
     auto event = co_await aStream.Next();
     if (!event || !event->has_value()) {
-      co_return AttemptEnd::eStalled;
+      co_return AttemptStatus::eStalled;
     }
     const EngineEvent& got = **event;
     if (got.done && got.attempt == this->id.value) {
-      co_return this->TakeDone(got, before);
+      co_return this->HandleDone(got, before);
     }
-    const auto end = co_await this->TakeToken(got);
+    const auto end = co_await this->HandleToken(got);
     if (end) {
       co_return *end;
     }
     if (this->plan.mayHandOver && this->state.handingOver) {
-      co_return AttemptEnd::eHandingOver;
+      co_return AttemptStatus::eHandingOver;
     }
-    if (this->TurnToMove()) {
-      co_return AttemptEnd::eMoving;
+    if (this->MayMigrate()) {
+      co_return AttemptStatus::eMigrating;
     }
   }
 }
 
-AttemptEnd
-ModelAttempt::TakeDone(const EngineEvent& aEvent, std::uint64_t aBefore)
+AttemptStatus
+ModelAttempt::HandleDone(const EngineEvent& aEvent, std::uint64_t aBefore)
 {
-  const auto tokens = this->answer.Count() - aBefore;
+  const auto tokens = this->response.TokenCount() - aBefore;
   if (tokens > 1) {
-    this->result.meanGapMs = (this->lastTokenMs - this->result.firstTokenMs) /
-                             static_cast<double>(tokens - 1);
+    this->result.meanTokenGapMs =
+      (this->lastTokenMs - this->result.firstTokenMs) /
+      static_cast<double>(tokens - 1);
   }
-  const EventVerdict verdict = this->answer.Done(aEvent.attempt, aEvent.offset);
-  return verdict == EventVerdict::eDeliver ? AttemptEnd::eWhole
-                                           : AttemptEnd::eFailed;
+  const EventAction verdict =
+    this->response.CheckEnd(aEvent.attempt, aEvent.offset);
+  return verdict == EventAction::eDeliver ? AttemptStatus::eComplete
+                                          : AttemptStatus::eFailed;
 }
 
-Task<std::optional<AttemptEnd>>
-ModelAttempt::TakeToken(const EngineEvent& aEvent)
+Task<std::optional<AttemptStatus>>
+ModelAttempt::HandleToken(const EngineEvent& aEvent)
 {
   if (aEvent.done) {
     this->state.metrics.Count("toucanshed_engine_events_ignored_total");
     co_return std::nullopt;
   }
-  const EventVerdict verdict =
-    this->answer.Token(aEvent.attempt, aEvent.offset, aEvent.token);
-  if (verdict == EventVerdict::eBroken) {
-    co_return AttemptEnd::eFailed;
+  const EventAction verdict =
+    this->response.AddToken(aEvent.attempt, aEvent.offset, aEvent.token);
+  if (verdict == EventAction::eAbortStream) {
+    co_return AttemptStatus::eFailed;
   }
-  if (verdict == EventVerdict::eIgnore) {
+  if (verdict == EventAction::eIgnore) {
     this->state.metrics.Count("toucanshed_engine_events_ignored_total");
     co_return std::nullopt;
   }
-  this->lastTokenMs = this->Ms();
+  this->lastTokenMs = this->ElapsedMs();
   if (this->result.firstTokenMs < 0) {
     this->result.firstTokenMs = this->lastTokenMs;
   }
   const bool taken = co_await this->sink(aEvent.token);
   if (!taken) {
-    co_return AttemptEnd::eCallerGone;
+    co_return AttemptStatus::eCallerDisconnected;
   }
   co_return std::nullopt;
 }
 
-AttemptEnd
-ModelAttempt::EndOf(const EngineError& aError)
+AttemptStatus
+ModelAttempt::StatusOf(const EngineError& aError)
 {
   this->state.events.Emit(Event("attempt.failed")
                             .With("request", this->plan.request.id)
                             .With("attempt", this->id)
-                            .With("engine", this->plan.choice.Life())
+                            .With("engine", this->plan.choice.IncarnationKey())
                             .With("reason", aError.message));
-  switch (aError.fault) {
-    case EngineFault::eUnreachable:
-      return AttemptEnd::eUnreachable;
-    case EngineFault::eRefused:
-      return AttemptEnd::eRefused;
-    case EngineFault::eFailed:
-    case EngineFault::eGarbled:
-      return AttemptEnd::eFailed;
-    case EngineFault::eSilent:
-    case EngineFault::eCut:
+  switch (aError.kind) {
+    case EngineErrorKind::eUnreachable:
+      return AttemptStatus::eUnreachable;
+    case EngineErrorKind::eRejected:
+      return AttemptStatus::eRejected;
+    case EngineErrorKind::eErrorStatus:
+    case EngineErrorKind::eMalformedEvent:
+      return AttemptStatus::eFailed;
+    case EngineErrorKind::eTimedOut:
+    case EngineErrorKind::eDisconnected:
       break;
   }
-  return AttemptEnd::eStalled;
+  return AttemptStatus::eStalled;
 }
 
 Task<bool>
-ModelAttempt::StillLives()
+ModelAttempt::IsEngineAlive()
 {
   // On a new connection: it tells an engine that is gone from a connection
   // that something between the two ends has lost track of.
@@ -256,44 +260,46 @@
   known.id = this->plan.choice.id;
   known.address = this->plan.choice.address;
   const auto report =
-    co_await AskEngineReport(this->worker, known, kProbeTimeout);
+    co_await FetchEngineReport(this->worker, known, kProbeTimeout);
   const bool alive =
     report && report->incarnation == this->plan.choice.incarnation;
   if (alive) {
-    this->worker.pool.Drop(*ParseEndpoint(this->plan.choice.address));
+    this->worker.connectionPool.CloseIdle(
+      *ParseEndpoint(this->plan.choice.address));
   }
   co_return alive;
 }
 
 bool
-ModelAttempt::TurnToMove()
+ModelAttempt::MayMigrate()
 {
-  const std::string life = this->plan.choice.Life();
-  const std::uint64_t leavings = this->state.leavings;
-  if (leavings != this->leavingsSeen) {
-    this->leavingsSeen = leavings;
-    this->onLeaving = this->state.router.With([&](Router& aRouter) {
-      const Engine* engine = aRouter.FindLife(life);
+  const std::string life = this->plan.choice.IncarnationKey();
+  const std::uint64_t leavings = this->state.leavingChanges;
+  if (leavings != this->seenLeavingChanges) {
+    this->seenLeavingChanges = leavings;
+    this->engineLeaving = this->state.router.WithLock([&](Router& aRouter) {
+      const Engine* engine = aRouter.FindIncarnation(life);
       return engine != nullptr && engine->report.leaving;
     });
   }
   // The last token needs no move.
-  const bool ending = this->answer.Count() + 1 >= this->plan.request.maxTokens;
-  if (!this->onLeaving || ending) {
+  const bool ending =
+    this->response.TokenCount() + 1 >= this->plan.request.maxTokens;
+  if (!this->engineLeaving || ending) {
     return false;
   }
-  return this->state.caution.With([&](Caution& aCaution) {
+  return this->state.factTables.WithLock([&](FactTables& aCaution) {
     const RequestId& request = this->plan.request.id;
-    aCaution.turns.Enter(life, request, this->answer.Count());
-    return aCaution.turns.MayGo(life, request);
+    aCaution.migrations.AddOrUpdate(life, request, this->response.TokenCount());
+    return aCaution.migrations.TryStart(life, request);
   });
 }
 
 void
-ModelAttempt::LeaveTurns(const std::string& aLife)
+ModelAttempt::LeaveMigrationQueue(const std::string& aLife)
 {
-  this->state.caution.With([&](Caution& aCaution) {
-    aCaution.turns.Leave(aLife, this->plan.request.id);
+  this->state.factTables.WithLock([&](FactTables& aCaution) {
+    aCaution.migrations.Remove(aLife, this->plan.request.id);
   });
 }
 
--- a/src/daemon/ModelAttempt.h
+++ b/src/daemon/ModelAttempt.h
@@ -5,8 +5,8 @@
 
 #include "DaemonState.h"
 #include "ModelRequest.h"
-#include "coord/AnswerAssembler.h"
-#include "edge/EngineAccess.h"
+#include "coord/ResponseAssembler.h"
+#include "edge/EngineClient.h"
 
 #include <functional>
 #include <memory>
@@ -19,37 +19,37 @@
 using TokenSink = std::function<Task<bool>(const std::string&)>;
 
 /** How one attempt on one engine ended. */
-enum class AttemptEnd
+enum class AttemptStatus
 {
-  eWhole,
-  eCallerGone,
-  eRefused,
+  eComplete,
+  eCallerDisconnected,
+  eRejected,
   eUnreachable,
   eFailed,
   eStalled,     // silent, or cut while the engine lives on
-  eMoving,      // left an engine that is being reclaimed
+  eMigrating,   // left an engine that is being reclaimed
   eHandingOver, // this daemon must stop
   eCrashed,
 };
 
 /** As in metrics: "whole", "caller_gone" and so on. */
 std::string
-ToText(AttemptEnd aEnd);
+ToText(AttemptStatus aEnd);
 
 /** What an attempt showed. Times in milliseconds, below zero if there are
  * none. */
 struct AttemptResult
 {
-  AttemptEnd end = AttemptEnd::eFailed;
+  AttemptStatus status = AttemptStatus::eFailed;
   bool sent = false; // bytes of the request have reached the engine
   double firstTokenMs = -1;
-  double meanGapMs = -1;
+  double meanTokenGapMs = -1;
   double totalMs = 0;
 };
 
 /** The attempt that a stream on the move comes from. Its connection is kept
  * open until the state has been taken along, or the engine would drop it. */
-struct MoveOrigin
+struct MigrationSource
 {
   EngineChoice choice;
   AttemptId attempt;
@@ -83,38 +83,38 @@
   ModelAttempt(DaemonState& aState,
                Worker& aWorker,
                AttemptPlan aPlan,
-               AnswerAssembler& aAnswer,
+               ResponseAssembler& aAnswer,
                TokenSink& aSink);
 
   /** Runs the attempt once.
    * \param aOrigin where the stream comes from if it is on the move; set when
    *   the attempt ends as eMoving, and taken otherwise. */
-  Task<AttemptResult> Run(std::optional<MoveOrigin>& aOrigin);
+  Task<AttemptResult> Run(std::optional<MigrationSource>& aOrigin);
 
 private:
   /** Brings a moving stream's state to this engine. */
-  Task<void> BringState(std::optional<MoveOrigin>& aOrigin);
-  Task<AttemptEnd> Read(EngineStream& aStream);
-  AttemptEnd TakeDone(const EngineEvent& aEvent, std::uint64_t aBefore);
-  Task<std::optional<AttemptEnd>> TakeToken(const EngineEvent& aEvent);
-  AttemptEnd EndOf(const EngineError& aError);
-  Task<bool> StillLives();
+  Task<void> TransferState(std::optional<MigrationSource>& aOrigin);
+  Task<AttemptStatus> ReadTokens(EngineStream& aStream);
+  AttemptStatus HandleDone(const EngineEvent& aEvent, std::uint64_t aBefore);
+  Task<std::optional<AttemptStatus>> HandleToken(const EngineEvent& aEvent);
+  AttemptStatus StatusOf(const EngineError& aError);
+  Task<bool> IsEngineAlive();
   /** Whether the engine is leaving and this stream's turn to go has come. */
-  bool TurnToMove();
-  void LeaveTurns(const std::string& aLife);
-  [[nodiscard]] double Ms() const;
+  bool MayMigrate();
+  void LeaveMigrationQueue(const std::string& aLife);
+  [[nodiscard]] double ElapsedMs() const;
 
   DaemonState& state;
   Worker& worker;
   AttemptPlan plan;
-  AnswerAssembler& answer;
+  ResponseAssembler& response;
   TokenSink& sink;
   AttemptId id;
   AttemptResult result;
   std::chrono::steady_clock::time_point start;
   double lastTokenMs = 0;
-  std::uint64_t leavingsSeen = 0;
-  bool onLeaving = false; // the engine is leaving
+  std::uint64_t seenLeavingChanges = 0;
+  bool engineLeaving = false; // the engine is leaving
 };
 
 } // namespace toucanshed
--- a/src/daemon/ModelCall.cpp
+++ b/src/daemon/ModelCall.cpp
@@ -1,7 +1,7 @@
 #include "ModelCall.h"
 
 #include "Handover.h"
-#include "Versions.h"
+#include "VersionShares.h"
 #include "base/Hash.h"
 
 namespace toucanshed {
@@ -11,18 +11,18 @@
 constexpr Millis kProbeTimeout{ 400 };
 /** An engine that crashed or cannot be reached is left alone this long; the
  * platform's list and its own reports bring it back. */
-constexpr Millis kDownAfterCrash{ 5000 };
-constexpr Millis kDownAfterRefusal{ 1000 };
-constexpr Millis kPollDelay{ 20 };
-constexpr std::size_t kMostAttempts = 12;
+constexpr Millis kCrashBackoff{ 5000 };
+constexpr Millis kRejectionBackoff{ 1000 };
+constexpr Millis kPollInterval{ 20 };
+constexpr std::size_t kMaxAttempts = 12;
 constexpr const char* kCrashReason =
   "this request crashed the back ends that ran it";
-constexpr std::uint64_t kRetryAfterGivenUpSeconds = 600;
+constexpr std::uint64_t kRejectedRetryAfterSeconds = 600;
 /** The prompt's beginning that decides where it is likely to be cached. */
-constexpr std::size_t kPrefixLetters = 250;
+constexpr std::size_t kPrefixBytes = 250;
 /** Time for other daemons to hear that an engine is reserved. */
-constexpr Millis kReservationSpread{ 700 };
-constexpr Millis kReservationHeld{ 15000 };
+constexpr Millis kReservationPropagationTime{ 700 };
+constexpr Millis kReservationTime{ 15000 };
 
 } // namespace
 
@@ -38,80 +38,85 @@
 }
 
 SuspectLevel
-ModelCall::Level() const
+ModelCall::CurrentSuspectLevel() const
 {
-  return this->state.caution.With([&](Caution& aCaution) {
+  return this->state.factTables.WithLock([&](FactTables& aCaution) {
     return SuspectTable::LevelOf(aCaution.facts, this->request.fingerprint);
   });
 }
 
-CallEnd
-ModelCall::GiveUp(const std::string& aReason, std::uint64_t aRetryAfter) const
+RequestResult
+ModelCall::MakeFailure(const std::string& aReason,
+                       std::uint64_t aRetryAfter) const
 {
-  return CallEnd{ this->sent ? CallOutcome::eMayHaveRun : CallOutcome::eNotRun,
-                  aReason,
-                  aRetryAfter };
+  return RequestResult{ this->sent ? RequestOutcome::eMayHaveRun
+                                   : RequestOutcome::eNotRun,
+                        aReason,
+                        aRetryAfter };
 }
 
 Task<bool>
-ModelCall::TakeWatchedPlace()
+ModelCall::AcquireSerialSlot()
 {
-  while (!this->holdsPlace) {
-    this->holdsPlace = this->state.caution.With([&](Caution& aCaution) {
-      return aCaution.suspects.TakePlace(this->request.fingerprint);
-    });
-    if (this->holdsPlace) {
+  while (!this->holdsSerialSlot) {
+    this->holdsSerialSlot =
+      this->state.factTables.WithLock([&](FactTables& aCaution) {
+        return aCaution.suspects.TryStart(this->request.fingerprint);
+      });
+    if (this->holdsSerialSlot) {
       break;
     }
     if (this->state.Now() >= this->request.deadline) {
       co_return false;
     }
-    co_await Sleep(kPollDelay);
+    co_await Sleep(kPollInterval);
   }
   co_return true;
 }
 
 void
-ModelCall::LeaveWatchedPlace()
+ModelCall::ReleaseSerialSlot()
 {
-  if (this->holdsPlace) {
-    this->holdsPlace = false;
-    this->state.caution.With([&](Caution& aCaution) {
-      aCaution.suspects.LeavePlace(this->request.fingerprint);
+  if (this->holdsSerialSlot) {
+    this->holdsSerialSlot = false;
+    this->state.factTables.WithLock([&](FactTables& aCaution) {
+      aCaution.suspects.RecordEnd(this->request.fingerprint);
     });
   }
 }
 
 void
-ModelCall::StartFrom(const std::vector<std::string>& aTokens)
+ModelCall::ResumeFrom(const std::vector<std::string>& aTokens)
 {
   const AttemptId handed{ "handed-over" };
-  this->answer.BeginAttempt(handed);
+  this->response.BeginAttempt(handed);
   for (const std::string& token : aTokens) {
-    this->answer.Token(handed.value, this->answer.Count(), token);
+    this->response.AddToken(handed.value, this->response.TokenCount(), token);
   }
 }
 
-Task<CallEnd>
+Task<RequestResult>
 ModelCall::Run()
 {
-  this->state.retries.With([](RetryBudget& aBudget) { aBudget.FirstTry(); });
-  CallEnd end = co_await this->RunAttempts();
-  if (this->origin) {
+  this->state.retryBudget.WithLock(
+    [](RetryBudget& aBudget) { aBudget.RecordRequest(); });
+  RequestResult end = co_await this->RunAttempts();
+  if (this->migrationSource) {
     // It gave up between two engines.
-    this->state.caution.With([&](Caution& aCaution) {
-      aCaution.turns.Leave(this->origin->choice.Life(), this->request.id);
+    this->state.factTables.WithLock([&](FactTables& aCaution) {
+      aCaution.migrations.Remove(this->migrationSource->choice.IncarnationKey(),
+                                 this->request.id);
     });
   }
-  this->LeaveWatchedPlace();
+  this->ReleaseSerialSlot();
   co_return end;
 }
 
-Task<CallEnd>
+Task<RequestResult>
 ModelCall::RunAttempts()
 {
-  while (this->attempts < kMostAttempts) {
-    const Place place = co_await this->FindPlace();
+  while (this->attempts < kMaxAttempts) {
+    const TargetOrFailure place = co_await this->FindTarget();
     if (!place) {
       co_return place.error();
     }
@@ -121,279 +126,284 @@
       this->worker,
       AttemptPlan{
         this->request, place->choice, place->priority, this->mayHandOver },
-      this->answer,
+      this->response,
       this->sink);
-    const AttemptResult result = co_await attempt.Run(this->origin);
+    const AttemptResult result = co_await attempt.Run(this->migrationSource);
     this->sent = this->sent || result.sent;
-    this->Record(place->choice, result);
-    if (place->gate) {
-      this->state.gate.Leave(*place->gate);
+    this->RecordAttempt(place->choice, result);
+    if (place->slot) {
+      this->state.admission.Release(*place->slot);
     }
-    if (result.end == AttemptEnd::eWhole) {
-      co_return CallEnd{ CallOutcome::eCompleted, {}, 0 };
+    if (result.status == AttemptStatus::eComplete) {
+      co_return RequestResult{ RequestOutcome::eCompleted, {}, 0 };
     }
-    if (result.end == AttemptEnd::eHandingOver) {
-      HandOver(this->state,
-               HandedStream{ this->request.id, this->answer.Tokens() });
-      co_return CallEnd{ CallOutcome::eHandedOver, "this daemon stops", 0 };
+    if (result.status == AttemptStatus::eHandingOver) {
+      HandOverStream(
+        this->state,
+        HandedOverStream{ this->request.id, this->response.Tokens() });
+      co_return RequestResult{ RequestOutcome::eHandedOver,
+                               "this daemon stops",
+                               0 };
     }
-    if (result.end == AttemptEnd::eCallerGone) {
-      co_return this->GiveUp("the caller has gone", 1);
+    if (result.status == AttemptStatus::eCallerDisconnected) {
+      co_return this->MakeFailure("the caller has gone", 1);
     }
-    if (result.end == AttemptEnd::eMoving) {
+    if (result.status == AttemptStatus::eMigrating) {
       continue;
     }
-    this->tried.insert(place->choice.Life());
-    if (result.end == AttemptEnd::eCrashed) {
-      this->NoteCrash(place->choice);
+    this->triedEngines.insert(place->choice.IncarnationKey());
+    if (result.status == AttemptStatus::eCrashed) {
+      this->RecordCrash(place->choice);
     }
-    if (!this->MayTryAgain(result.end)) {
-      co_return this->GiveUp("back ends failed and the retry budget is spent",
-                             2);
+    if (!this->CanRetry(result.status)) {
+      co_return this->MakeFailure(
+        "back ends failed and the retry budget is spent", 2);
     }
   }
-  co_return this->GiveUp("no back end could complete it", 5);
+  co_return this->MakeFailure("no back end could complete it", 5);
 }
 
 bool
-ModelCall::MayTryAgain(AttemptEnd aEnd)
+ModelCall::CanRetry(AttemptStatus aEnd)
 {
   // Going on with an answer that a caller is reading, and a request that no
   // engine has taken, are no retries of failed work.
-  const bool free = aEnd == AttemptEnd::eRefused ||
-                    aEnd == AttemptEnd::eUnreachable ||
-                    this->answer.Count() > 0;
-  return free || this->state.retries.With(
-                   [](RetryBudget& aBudget) { return aBudget.TakeRetry(); });
+  const bool free = aEnd == AttemptStatus::eRejected ||
+                    aEnd == AttemptStatus::eUnreachable ||
+                    this->response.TokenCount() > 0;
+  return free || this->state.retryBudget.WithLock(
+                   [](RetryBudget& aBudget) { return aBudget.TryTakeRetry(); });
 }
 
 VersionId
-ModelCall::ChooseVersionNow()
+ModelCall::SelectVersion()
 {
   if (this->pinnedVersion) {
     return *this->pinnedVersion;
   }
-  const auto shares = SharesNow(this->state, this->request.service);
+  const auto shares = CurrentShares(this->state, this->request.service);
   return ChooseVersion(shares, Hash64(this->request.id.value));
 }
 
 RouteRequest
-ModelCall::MakeRoute(VersionId aVersion) const
+ModelCall::MakeRouteRequest(VersionId aVersion) const
 {
   RouteRequest route;
   route.service = this->request.service;
   route.version = std::move(aVersion);
   route.zone = this->state.settings.zone;
   const std::string& prompt = this->request.prompt;
-  if (prompt.size() > kPrefixLetters) {
-    route.prefixHash =
-      Hash64(std::string_view(prompt).substr(0, kPrefixLetters));
-    route.prefixTokens = EstimateTokens(prompt.substr(0, kPrefixLetters));
+  if (prompt.size() > kPrefixBytes) {
+    route.prefixHash = Hash64(std::string_view(prompt).substr(0, kPrefixBytes));
+    route.prefixTokens = EstimateTokens(prompt.substr(0, kPrefixBytes));
   }
   route.promptTokens =
     std::max<std::uint64_t>(route.prefixTokens, EstimateTokens(prompt));
-  route.promptTokens += this->answer.Count();
-  route.avoid = this->tried;
+  route.promptTokens += this->response.TokenCount();
+  route.excluded = this->triedEngines;
   return route;
 }
 
-Task<ModelCall::Place>
-ModelCall::FindPlace()
+Task<ModelCall::TargetOrFailure>
+ModelCall::FindTarget()
 {
-  const SuspectLevel level = this->Level();
-  if (level == SuspectLevel::eGivenUp) {
-    co_return tl::unexpected<CallEnd>(
-      this->GiveUp(kCrashReason, kRetryAfterGivenUpSeconds));
+  const SuspectLevel level = this->CurrentSuspectLevel();
+  if (level == SuspectLevel::eRejected) {
+    co_return tl::unexpected<RequestResult>(
+      this->MakeFailure(kCrashReason, kRejectedRetryAfterSeconds));
   }
   if (level == SuspectLevel::eClear) {
-    this->LeaveWatchedPlace();
-  } else if (!co_await this->TakeWatchedPlace()) {
-    co_return tl::unexpected<CallEnd>(
-      this->GiveUp("the same request is being tried already", 5));
+    this->ReleaseSerialSlot();
+  } else if (!co_await this->AcquireSerialSlot()) {
+    co_return tl::unexpected<RequestResult>(
+      this->MakeFailure("the same request is being tried already", 5));
   }
-  if (level == SuspectLevel::eAlone) {
-    co_return co_await this->FindPlaceAlone();
+  if (level == SuspectLevel::eIsolated) {
+    co_return co_await this->FindIsolatedTarget();
   }
   QueueItem item;
   item.team = this->request.team;
-  item.urgency = this->request.urgency;
+  item.latencyClass = this->request.latencyClass;
   const std::uint64_t promptTokens = EstimateTokens(this->request.prompt);
   item.cost = static_cast<double>(this->request.maxTokens + promptTokens);
   item.arrived = this->request.arrived;
   item.deadline = this->request.deadline;
-  const VersionId version = this->ChooseVersionNow();
-  this->ForgetTriedIfAll(version);
-  auto place = co_await this->state.gate.Enter(
-    this->worker, this->MakeRoute(version), item);
+  const VersionId version = this->SelectVersion();
+  this->ResetTriedIfExhausted(version);
+  auto place = co_await this->state.admission.Admit(
+    this->worker, this->MakeRouteRequest(version), item);
   if (place) {
-    co_return Taken{ place->choice, place->priority, *place };
+    co_return ExecutionTarget{ place->choice, place->priority, *place };
   }
-  const bool full = place.error() == GateRefusal::eFull;
-  CallEnd end = this->GiveUp(
+  const bool full = place.error() == AdmissionError::eQueueFull;
+  RequestResult end = this->MakeFailure(
     full ? "the team's queue is full" : "no place in time", full ? 2 : 1);
-  end.overShare = full;
-  co_return tl::unexpected<CallEnd>(std::move(end));
+  end.teamQueueFull = full;
+  co_return tl::unexpected<RequestResult>(std::move(end));
 }
 
 void
-ModelCall::ForgetTriedIfAll(const VersionId& aVersion)
+ModelCall::ResetTriedIfExhausted(const VersionId& aVersion)
 {
-  if (this->tried.empty()) {
+  if (this->triedEngines.empty()) {
     return;
   }
   // With every engine tried, waiting for another would use up the caller's
   // time for nothing; one that failed may well work again.
   const TimePoint now = this->state.Now();
-  const auto lives = this->state.router.With([&](Router& aRouter) {
-    return aRouter.UsableLives(this->request.service, aVersion, now);
+  const auto lives = this->state.router.WithLock([&](Router& aRouter) {
+    return aRouter.AvailableIncarnations(this->request.service, aVersion, now);
   });
   const bool all =
     std::all_of(lives.begin(), lives.end(), [&](const std::string& aLife) {
-      return this->tried.count(aLife) != 0;
+      return this->triedEngines.count(aLife) != 0;
     });
   if (all) {
-    this->tried.clear();
+    this->triedEngines.clear();
   }
 }
 
-Task<ModelCall::Place>
-ModelCall::FindPlaceAlone()
+Task<ModelCall::TargetOrFailure>
+ModelCall::FindIsolatedTarget()
 {
-  const VersionId version = this->ChooseVersionNow();
+  const VersionId version = this->SelectVersion();
   const std::string print = std::to_string(this->request.fingerprint.value);
   while (this->state.Now() < this->request.deadline) {
     const TimePoint now = this->state.Now();
-    auto lives = this->state.router.With([&](Router& aRouter) {
-      return aRouter.UsableLives(this->request.service, version, now);
+    auto lives = this->state.router.WithLock([&](Router& aRouter) {
+      return aRouter.AvailableIncarnations(this->request.service, version, now);
     });
     std::erase_if(lives, [&](const std::string& aLife) {
-      return !this->ComesFirstOn(aLife);
+      return !this->HasIsolationPriorityOn(aLife);
     });
     const std::string life = RendezvousOwner(print, lives);
     if (life.empty()) {
-      co_await Sleep(kPollDelay);
+      co_await Sleep(kPollInterval);
       continue;
     }
     // The fact keeps new requests off the engine at every daemon; it is empty
     // once those that were there have ended.
-    this->state.State(SuspectTable::AloneFact(
-      this->request.fingerprint, life, now + kReservationHeld));
+    this->state.PublishFact(SuspectTable::IsolationFact(
+      this->request.fingerprint, life, now + kReservationTime));
     ApplyReservations(this->state);
-    co_await Sleep(kReservationSpread);
-    if (this->Level() == SuspectLevel::eGivenUp) {
+    co_await Sleep(kReservationPropagationTime);
+    if (this->CurrentSuspectLevel() == SuspectLevel::eRejected) {
       break;
     }
-    if (!this->ComesFirstOn(life)) {
+    if (!this->HasIsolationPriorityOn(life)) {
       continue;
     }
-    const auto choice = co_await this->TakeEmptyEngine(life);
+    const auto choice = co_await this->TakeIdleEngine(life);
     if (choice) {
       this->state.events.Emit(Event("request.alone")
                                 .With("request", this->request.id)
                                 .With("engine", life));
-      co_return Taken{ *choice, 1, std::nullopt };
+      co_return ExecutionTarget{ *choice, 1, std::nullopt };
     }
   }
-  co_return tl::unexpected<CallEnd>(
-    this->Level() == SuspectLevel::eGivenUp
-      ? this->GiveUp(kCrashReason, kRetryAfterGivenUpSeconds)
-      : this->GiveUp("no engine to run it alone in time", 5));
+  co_return tl::unexpected<RequestResult>(
+    this->CurrentSuspectLevel() == SuspectLevel::eRejected
+      ? this->MakeFailure(kCrashReason, kRejectedRetryAfterSeconds)
+      : this->MakeFailure("no engine to run it alone in time", 5));
 }
 
 bool
-ModelCall::ComesFirstOn(const std::string& aLife) const
+ModelCall::HasIsolationPriorityOn(const std::string& aLife) const
 {
-  return this->state.caution.With([&](Caution& aCaution) {
-    return SuspectTable::ComesFirst(
+  return this->state.factTables.WithLock([&](FactTables& aCaution) {
+    return SuspectTable::HasIsolationPriority(
       aCaution.facts, this->request.fingerprint, aLife);
   });
 }
 
 Task<std::optional<EngineChoice>>
-ModelCall::TakeEmptyEngine(std::string aLife)
+ModelCall::TakeIdleEngine(std::string aLife)
 {
   // The reports at hand are old. Asked now, an engine that has been replaced
   // is not taken for the one that was reserved: a crash would be counted
   // against the wrong life, and one crash more allowed than there should be.
   EngineReport known;
-  this->state.router.With([&](Router& aRouter) {
-    if (const Engine* engine = aRouter.FindLife(aLife)) {
+  this->state.router.WithLock([&](Router& aRouter) {
+    if (const Engine* engine = aRouter.FindIncarnation(aLife)) {
       known = engine->report;
     }
   });
   const auto report =
-    co_await AskEngineReport(this->worker, known, kProbeTimeout);
-  const bool empty = report && LifeOf(*report) == aLife &&
+    co_await FetchEngineReport(this->worker, known, kProbeTimeout);
+  const bool empty = report && IncarnationKeyOf(*report) == aLife &&
                      report->running + report->waiting == 0;
   if (!empty) {
     co_return std::nullopt;
   }
   const TimePoint now = this->state.Now();
-  co_return this->state.router.With(
-    [&](Router& aRouter) { return aRouter.PickLife(aLife, now); });
+  co_return this->state.router.WithLock(
+    [&](Router& aRouter) { return aRouter.PickIncarnation(aLife, now); });
 }
 
 void
-ModelCall::NoteCrash(const EngineChoice& aChoice)
+ModelCall::RecordCrash(const EngineChoice& aChoice)
 {
   const TimePoint now = this->state.Now();
-  const bool announced = this->state.Holds(LeavingFact(aChoice.Life()));
-  this->state.router.With([&](Router& aRouter) {
-    aRouter.MarkDown(aChoice.Life(), now + kDownAfterCrash);
+  const bool announced =
+    this->state.HasFact(LeavingFact(aChoice.IncarnationKey()));
+  this->state.router.WithLock([&](Router& aRouter) {
+    aRouter.MarkDown(aChoice.IncarnationKey(), now + kCrashBackoff);
   });
   this->state.events.Emit(Event("engine.crashed")
-                            .With("engine", aChoice.Life())
+                            .With("engine", aChoice.IncarnationKey())
                             .With("request", this->request.id)
                             .With("announced", announced ? 1 : 0));
   if (!announced) {
-    this->state.State(
-      SuspectTable::CrashFact(this->request.fingerprint, aChoice.Life(), now));
+    this->state.PublishFact(SuspectTable::CrashFact(
+      this->request.fingerprint, aChoice.IncarnationKey(), now));
     this->state.metrics.Count("toucanshed_requests_implicated_total");
   }
 }
 
 void
-ModelCall::Record(const EngineChoice& aChoice, const AttemptResult& aResult)
+ModelCall::RecordAttempt(const EngineChoice& aChoice,
+                         const AttemptResult& aResult)
 {
   const TimePoint now = this->state.Now();
-  EngineEnding ending;
-  ending.answered = aResult.end == AttemptEnd::eWhole;
+  EngineResult ending;
+  ending.completed = aResult.status == AttemptStatus::eComplete;
   ending.firstTokenMs = aResult.firstTokenMs;
   ending.totalMs = aResult.totalMs;
-  const bool away = aResult.end == AttemptEnd::eUnreachable ||
-                    aResult.end == AttemptEnd::eRefused;
-  this->state.router.With([&](Router& aRouter) {
+  const bool away = aResult.status == AttemptStatus::eUnreachable ||
+                    aResult.status == AttemptStatus::eRejected;
+  this->state.router.WithLock([&](Router& aRouter) {
     aRouter.Finish(aChoice, ending);
     if (away) {
-      aRouter.MarkDown(aChoice.Life(), now + kDownAfterRefusal);
+      aRouter.MarkDown(aChoice.IncarnationKey(), now + kRejectionBackoff);
     }
   });
   this->state.metrics.Count("toucanshed_attempts_total",
-                            "end=\"" + ToText(aResult.end) + "\"");
+                            "end=\"" + ToText(aResult.status) + "\"");
   if (aResult.firstTokenMs >= 0) {
-    this->state.metrics.FirstToken(aResult.firstTokenMs);
+    this->state.metrics.RecordFirstToken(aResult.firstTokenMs);
   }
-  if (aResult.meanGapMs >= 0) {
-    this->state.metrics.TokenGap(aResult.meanGapMs);
+  if (aResult.meanTokenGapMs >= 0) {
+    this->state.metrics.RecordTokenGap(aResult.meanTokenGapMs);
   }
   // That an engine was reclaimed says nothing of its version.
-  const bool reclaimed = aResult.end == AttemptEnd::eCrashed &&
-                         this->state.Holds(LeavingFact(aChoice.Life()));
-  const bool says = aResult.end == AttemptEnd::eWhole ||
-                    aResult.end == AttemptEnd::eFailed ||
-                    (aResult.end == AttemptEnd::eCrashed && !reclaimed);
+  const bool reclaimed =
+    aResult.status == AttemptStatus::eCrashed &&
+    this->state.HasFact(LeavingFact(aChoice.IncarnationKey()));
+  const bool says = aResult.status == AttemptStatus::eComplete ||
+                    aResult.status == AttemptStatus::eFailed ||
+                    (aResult.status == AttemptStatus::eCrashed && !reclaimed);
   if (!says) {
     return;
   }
   Observation observation;
-  observation.error = aResult.end != AttemptEnd::eWhole;
+  observation.error = aResult.status != AttemptStatus::eComplete;
   observation.firstTokenMs = aResult.firstTokenMs;
-  observation.meanGapMs = aResult.meanGapMs;
-  const auto old = ObserveVersion(this->state,
-                                  this->request.service,
-                                  aChoice.version,
-                                  this->request.route,
-                                  observation);
+  observation.meanGapMs = aResult.meanTokenGapMs;
+  const auto old = RecordObservation(this->state,
+                                     this->request.service,
+                                     aChoice.version,
+                                     this->request.route,
+                                     observation);
   if (observation.error && old) {
     // A fault of the new version is not the caller's to bear.
     this->pinnedVersion = *old;
@@ -401,7 +411,7 @@
 }
 
 Task<bool>
-KeepWhole(const std::string&)
+AcceptToken(const std::string&)
 {
   co_return true;
 }
--- a/src/daemon/ModelCall.h
+++ b/src/daemon/ModelCall.h
@@ -3,11 +3,11 @@
  */
 #pragma once
 
-#include "CallEnd.h"
 #include "DaemonState.h"
 #include "ModelAttempt.h"
 #include "ModelRequest.h"
-#include "coord/AnswerAssembler.h"
+#include "RequestResult.h"
+#include "coord/ResponseAssembler.h"
 
 #include <optional>
 #include <string>
@@ -34,60 +34,64 @@
             ModelRequest aRequest,
             TokenSink aSink);
 
-  Task<CallEnd> Run();
+  Task<RequestResult> Run();
   /** Goes on from tokens that another daemon had. Precondition: before Run. */
-  void StartFrom(const std::vector<std::string>& aTokens);
+  void ResumeFrom(const std::vector<std::string>& aTokens);
   /** Allows the stream to be handed to peers when this daemon must stop, as
    * only a caller that can resume may be left in the middle. */
   void AllowHandover() { this->mayHandOver = true; }
 
-  [[nodiscard]] const AnswerAssembler& Answer() const { return this->answer; }
+  [[nodiscard]] const ResponseAssembler& Response() const
+  {
+    return this->response;
+  }
 
 private:
   /** Where the request may go next, or why it may not. */
-  struct Taken
+  struct ExecutionTarget
   {
     EngineChoice choice;
     int priority = 0;
-    std::optional<GatePlace> gate; // a lone run takes no place at the gate
+    std::optional<EngineSlot> slot; // a lone run takes no place at the gate
   };
-  using Place = tl::expected<Taken, CallEnd>;
+  using TargetOrFailure = tl::expected<ExecutionTarget, RequestResult>;
 
-  Task<CallEnd> RunAttempts();
-  Task<Place> FindPlace();
-  Task<Place> FindPlaceAlone();
+  Task<RequestResult> RunAttempts();
+  Task<TargetOrFailure> FindTarget();
+  Task<TargetOrFailure> FindIsolatedTarget();
   /** Whether no other suspect is before this one on the engine. */
-  [[nodiscard]] bool ComesFirstOn(const std::string& aLife) const;
+  [[nodiscard]] bool HasIsolationPriorityOn(const std::string& aLife) const;
   /** Takes a place on an engine that is this very life and runs nothing. */
-  Task<std::optional<EngineChoice>> TakeEmptyEngine(std::string aLife);
-  void ForgetTriedIfAll(const VersionId& aVersion);
-  VersionId ChooseVersionNow();
-  RouteRequest MakeRoute(VersionId aVersion) const;
-  void Record(const EngineChoice& aChoice, const AttemptResult& aResult);
-  void NoteCrash(const EngineChoice& aChoice);
-  bool MayTryAgain(AttemptEnd aEnd);
-  CallEnd GiveUp(const std::string& aReason, std::uint64_t aRetryAfter) const;
-  [[nodiscard]] SuspectLevel Level() const;
+  Task<std::optional<EngineChoice>> TakeIdleEngine(std::string aLife);
+  void ResetTriedIfExhausted(const VersionId& aVersion);
+  VersionId SelectVersion();
+  RouteRequest MakeRouteRequest(VersionId aVersion) const;
+  void RecordAttempt(const EngineChoice& aChoice, const AttemptResult& aResult);
+  void RecordCrash(const EngineChoice& aChoice);
+  bool CanRetry(AttemptStatus aEnd);
+  RequestResult MakeFailure(const std::string& aReason,
+                            std::uint64_t aRetryAfter) const;
+  [[nodiscard]] SuspectLevel CurrentSuspectLevel() const;
   /** Only one watched request of a fingerprint runs here at a time. */
-  Task<bool> TakeWatchedPlace();
-  void LeaveWatchedPlace();
+  Task<bool> AcquireSerialSlot();
+  void ReleaseSerialSlot();
 
   DaemonState& state;
   Worker& worker;
   ModelRequest request;
   TokenSink sink;
-  AnswerAssembler answer;
-  std::set<std::string> tried;
+  ResponseAssembler response;
+  std::set<std::string> triedEngines;
   std::optional<VersionId> pinnedVersion; // after a canary has failed
   bool sent = false;                      // bytes have reached an engine
   bool mayHandOver = false;
-  bool holdsPlace = false;
-  std::optional<MoveOrigin> origin;
+  bool holdsSerialSlot = false;
+  std::optional<MigrationSource> migrationSource;
   std::size_t attempts = 0;
 };
 
 /** A sink for callers that want the whole answer at its end. */
 Task<bool>
-KeepWhole(const std::string& aToken);
+AcceptToken(const std::string& aToken);
 
 } // namespace toucanshed
--- a/src/daemon/ModelRequest.h
+++ b/src/daemon/ModelRequest.h
@@ -19,7 +19,7 @@
   std::string route; // "chat" or "completions"
   std::string prompt;
   std::uint64_t maxTokens = 0;
-  Urgency urgency = Urgency::eQuick;
+  LatencyClass latencyClass = LatencyClass::eInteractive;
   TimePoint arrived;
   TimePoint deadline;
   Fingerprint fingerprint;
--- a/src/daemon/OperatorApi.cpp
+++ b/src/daemon/OperatorApi.cpp
@@ -1,6 +1,6 @@
 #include "OperatorApi.h"
 
-#include "Apply.h"
+#include "ConfigChange.h"
 #include "Handover.h"
 #include "base/Version.h"
 
@@ -16,7 +16,7 @@
 
 /** With neither the log nor a peer for this long, what is in force cannot be
  * known any more, and callers are better served elsewhere. */
-constexpr Millis kMostAlone{ 30000 };
+constexpr Millis kMaxIsolationTime{ 30000 };
 
 json::array
 MembersJson(DaemonState& aState)
@@ -25,7 +25,7 @@
     "alive", "suspect", "dead", "leaving"
   };
   json::array members;
-  aState.members.With([&](Membership& aMembers) {
+  aState.membership.WithLock([&](Membership& aMembers) {
     for (const auto& [id, view] : aMembers.Others()) {
       members.push_back(json::object{
         { "id", id },
@@ -42,31 +42,32 @@
 {
   json::array backends;
   const TimePoint now = aState.Now();
-  aState.router.With([&](Router& aRouter) {
+  aState.router.WithLock([&](Router& aRouter) {
     for (const EngineReport& report : aRouter.Reports()) {
-      const Engine* engine = aRouter.FindLife(LifeOf(report));
-      backends.push_back(json::object{ { "id", report.id.value },
-                                       { "service", report.service.value },
-                                       { "version", report.version.value },
-                                       { "zone", report.zone.value },
-                                       { "running", report.running },
-                                       { "waiting", report.waiting },
-                                       { "slots", report.slots },
-                                       { "leaving", report.leaving },
-                                       { "down", engine->downUntil > now },
-                                       { "in_flight", engine->inFlight },
-                                       { "limit", engine->limit.Value() } });
+      const Engine* engine = aRouter.FindIncarnation(IncarnationKeyOf(report));
+      backends.push_back(
+        json::object{ { "id", report.id.value },
+                      { "service", report.service.value },
+                      { "version", report.version.value },
+                      { "zone", report.zone.value },
+                      { "running", report.running },
+                      { "waiting", report.waiting },
+                      { "slots", report.slots },
+                      { "leaving", report.leaving },
+                      { "down", engine->downUntil > now },
+                      { "in_flight", engine->inFlight },
+                      { "limit", engine->concurrencyLimit.Value() } });
     }
   });
   return backends;
 }
 
 json::array
-MovesJson(DaemonState& aState)
+RolloutsJson(DaemonState& aState)
 {
   json::array moves;
-  aState.control.With([&](ControlReader& aReader) {
-    for (const auto& [position, move] : aReader.Table().Moves()) {
+  aState.control.WithLock([&](ControlReader& aReader) {
+    for (const auto& [position, move] : aReader.Table().RolloutsByRevision()) {
       moves.push_back(json::object{ { "move", position.value },
                                     { "service", move.service.value },
                                     { "from", move.from.value },
@@ -80,15 +81,16 @@
 }
 
 json::array
-LinesJson(DaemonState& aState)
+QueuesJson(DaemonState& aState)
 {
   json::array lines;
-  for (const Gate::LineView& line : aState.gate.Lines()) {
+  for (const AdmissionController::QueueStatus& line :
+       aState.admission.QueueStatuses()) {
     lines.push_back(json::object{ { "service", line.service.value },
                                   { "version", line.version.value },
                                   { "waiting", line.waiting },
                                   { "in_flight", line.inFlight },
-                                  { "places", line.places } });
+                                  { "places", line.slots } });
   }
   return lines;
 }
@@ -97,7 +99,7 @@
 ConfigJson(DaemonState& aState)
 {
   json::object services;
-  aState.control.With([&](ControlReader& aReader) {
+  aState.control.WithLock([&](ControlReader& aReader) {
     for (const auto& [service, entry] : aReader.Table().Services()) {
       std::string document;
       google::protobuf::util::JsonPrintOptions options;
@@ -115,8 +117,9 @@
 std::uint64_t
 AppliedRevision(DaemonState& aState)
 {
-  return aState.control.With(
-    [](ControlReader& aReader) { return aReader.Table().Applied().value; });
+  return aState.control.WithLock([](ControlReader& aReader) {
+    return aReader.Table().AppliedPosition().value;
+  });
 }
 
 std::string
@@ -128,85 +131,88 @@
     { "life", aState.writer.value },
     { "zone", aState.settings.zone.value },
     { "version", kProgramVersion },
-    { "ready", Ready(aState) },
+    { "ready", IsReady(aState) },
     { "stopping", aState.stopping.load() },
     { "applied", AppliedRevision(aState) },
-    { "log_heard_ms_ago", aState.Now().ms - aState.logHeardMs },
+    { "log_heard_ms_ago", aState.Now().ms - aState.logLastReadMs },
     { "in_flight", aState.inFlight.load() },
-    { "waiting", aState.gate.Waiting() },
-    { "work_unfinished",
-      aState.work.With([](WorkTable& aWork) { return aWork.Unfinished(); }) },
-    { "keys_kept", aState.claims.With([](ClaimCoordinator& aClaims) {
+    { "waiting", aState.admission.WaitingCount() },
+    { "work_unfinished", aState.work.WithLock([](WorkTable& aWork) {
+       return aWork.UnfinishedCount();
+     }) },
+    { "keys_kept", aState.claims.WithLock([](ClaimCoordinator& aClaims) {
        return aClaims.Table().Size();
      }) },
-    { "facts", aState.caution.With([](Caution& aCaution) {
+    { "facts", aState.factTables.WithLock([](FactTables& aCaution) {
        return aCaution.facts.Size();
      }) },
     { "peer_bytes_sent", traffic.bytesSent.load() },
     { "peer_bytes_received", traffic.bytesReceived.load() },
     { "peer_messages_sent", traffic.messagesSent.load() },
-    { "peer_refused", traffic.refused.load() },
+    { "peer_refused", traffic.rejectedHandshakes.load() },
     { "members", MembersJson(aState) },
-    { "lines", LinesJson(aState) },
+    { "lines", QueuesJson(aState) },
     { "backends", BackendsJson(aState) },
-    { "moves", MovesJson(aState) },
+    { "moves", RolloutsJson(aState) },
   };
   return json::serialize(status) + "\n";
 }
 
-HttpReply
+HttpResponse
 EventsReply(DaemonState& aState, std::string_view aTarget)
 {
-  const std::string text = QueryOf(aTarget, "after");
+  const std::string text = QueryParamOf(aTarget, "after");
   std::uint64_t after = 0;
   std::from_chars(text.data(), text.data() + text.size(), after);
-  const EventLog::Page page = aState.events.Since(after);
+  const EventLog::Page page = aState.events.LinesAfter(after);
   std::string lines;
   for (const std::string& line : page.lines) {
     lines += line + "\n";
   }
-  HttpReply reply = MakeReply(200, lines, "text/plain");
-  reply.set("Newest-Event", std::to_string(page.newest));
+  HttpResponse reply = MakeResponse(200, lines, "text/plain");
+  reply.set("Newest-Event", std::to_string(page.latestNumber));
   return reply;
 }
 
-HttpReply
+HttpResponse
 SnapshotReply(DaemonState& aState)
 {
-  const auto snapshot = aState.control.With([](ControlReader& aReader) {
-    return aReader.Whole() ? aReader.Snapshot() : records::ControlSnapshot{};
+  const auto snapshot = aState.control.WithLock([](ControlReader& aReader) {
+    return aReader.IsComplete() ? aReader.Snapshot()
+                                : records::ControlSnapshot{};
   });
-  return MakeReply(200, snapshot.SerializeAsString(), "application/x-protobuf");
+  return MakeResponse(
+    200, snapshot.SerializeAsString(), "application/x-protobuf");
 }
 
-HttpReply
+HttpResponse
 MetricsReply(DaemonState& aState, const PeerExchange& aPeers)
 {
-  std::string text = aState.metrics.Expose();
+  std::string text = aState.metrics.ToPrometheusText();
   const auto gauge = [&](const char* aName, std::uint64_t aValue) {
     text += std::string("# TYPE ") + aName + " gauge\n" + aName + " " +
             std::to_string(aValue) + "\n";
   };
   gauge("toucanshed_requests_in_flight", aState.inFlight);
-  gauge("toucanshed_requests_waiting", aState.gate.Waiting());
+  gauge("toucanshed_requests_waiting", aState.admission.WaitingCount());
   gauge("toucanshed_peer_bytes_sent", aPeers.Traffic().bytesSent);
   gauge("toucanshed_peer_bytes_received", aPeers.Traffic().bytesReceived);
-  gauge("toucanshed_ready", Ready(aState) ? 1 : 0);
-  return MakeReply(200, text, "text/plain; version=0.0.4");
+  gauge("toucanshed_ready", IsReady(aState) ? 1 : 0);
+  return MakeResponse(200, text, "text/plain; version=0.0.4");
 }
 
 } // namespace
 
 bool
-Ready(DaemonState& aState)
+IsReady(DaemonState& aState)
 {
-  if (aState.stopping || !aState.controlKnown) {
+  if (aState.stopping || !aState.controlLoaded) {
     return false;
   }
   const bool logHeard =
-    aState.Now().ms - aState.logHeardMs < kMostAlone.count();
-  return logHeard || aState.members.With([](Membership& aMembers) {
-    return aMembers.Alive().size() > 1;
+    aState.Now().ms - aState.logLastReadMs < kMaxIsolationTime.count();
+  return logHeard || aState.membership.WithLock([](Membership& aMembers) {
+    return aMembers.LiveMembers().size() > 1;
   });
 }
 
@@ -218,35 +224,35 @@
                HttpResponder& aResponder)
 {
   const std::string_view path = PathOf(aRequest.target());
-  HttpReply reply = MakeReply(404, "{\"error\":\"no such page\"}\n");
+  HttpResponse reply = MakeResponse(404, "{\"error\":\"no such page\"}\n");
   if (path == "/healthz") {
-    reply = MakeReply(200, "ok\n", "text/plain");
+    reply = MakeResponse(200, "ok\n", "text/plain");
   } else if (path == "/readyz") {
-    const bool ready = Ready(aState);
-    reply = MakeReply(
+    const bool ready = IsReady(aState);
+    reply = MakeResponse(
       ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "text/plain");
   } else if (path == "/metrics") {
     reply = MetricsReply(aState, aPeers);
   } else if (path == "/status") {
-    reply = MakeReply(200, StatusJson(aState, aPeers));
+    reply = MakeResponse(200, StatusJson(aState, aPeers));
   } else if (path == "/events") {
     reply = EventsReply(aState, aRequest.target());
   } else if (path == "/moves") {
-    reply = MakeReply(200, json::serialize(MovesJson(aState)) + "\n");
+    reply = MakeResponse(200, json::serialize(RolloutsJson(aState)) + "\n");
   } else if (path == "/applied") {
-    reply = MakeReply(200, std::to_string(AppliedRevision(aState)) + "\n");
+    reply = MakeResponse(200, std::to_string(AppliedRevision(aState)) + "\n");
   } else if (path == "/handed-over") {
-    const RequestId request{ QueryOf(aRequest.target(), "request") };
-    const std::string bytes = HandedOverBytes(aState, request);
+    const RequestId request{ QueryParamOf(aRequest.target(), "request") };
+    const std::string bytes = SerializeHandedOver(aState, request);
     reply =
-      MakeReply(bytes.empty() ? 404 : 200, bytes, "application/x-protobuf");
+      MakeResponse(bytes.empty() ? 404 : 200, bytes, "application/x-protobuf");
   } else if (path == "/control-snapshot") {
     reply = SnapshotReply(aState);
   } else if (path == "/config") {
     if (aRequest.method() == http::verb::post) {
-      reply = co_await ApplyChange(aState, aWorker, aRequest);
+      reply = co_await ApplyConfigChange(aState, aWorker, aRequest);
     } else {
-      reply = MakeReply(200, json::serialize(ConfigJson(aState)) + "\n");
+      reply = MakeResponse(200, json::serialize(ConfigJson(aState)) + "\n");
     }
   }
   co_await aResponder.Send(std::move(reply));
--- a/src/daemon/OperatorApi.h
+++ b/src/daemon/OperatorApi.h
@@ -12,7 +12,7 @@
 
 /** Whether callers may be sent here. Thread safety: any thread. */
 bool
-Ready(DaemonState& aState);
+IsReady(DaemonState& aState);
 
 /** Answers one request of an operator or of the platform's balancer. Thread
  * safety: may be called on any worker. */
--- a/src/daemon/PeerExchange.cpp
+++ b/src/daemon/PeerExchange.cpp
@@ -2,33 +2,33 @@
 
 #include "BackendWatcher.h"
 #include "Handover.h"
-#include "MoveDriver.h"
+#include "RolloutDriver.h"
 
 namespace toucanshed {
 
 namespace {
-constexpr Millis kTick{ 300 };
+constexpr Millis kTickInterval{ 300 };
 /** Peers that are told of a fact the moment it is stated, and by each daemon
  * that hears of it. */
-constexpr std::size_t kTellAtOnce = 8;
-constexpr std::size_t kPassOn = 2;
+constexpr std::size_t kInitialFanout = 8;
+constexpr std::size_t kForwardFanout = 2;
 }
 
 PeerExchange::PeerExchange(DaemonState& aState)
   : state(aState)
   , socket(
       aState.settings.peerAddress,
-      aState.settings.keys,
+      aState.settings.peerKeys,
       [this](const peer::Envelope& aEnvelope) { this->Receive(aEnvelope); })
 {
 }
 
 void
-PeerExchange::SpreadFacts(std::size_t aPeers)
+PeerExchange::GossipFacts(std::size_t aPeers)
 {
   std::vector<OutgoingEnvelope> messages;
-  this->state.members.With([&](Membership& aMembers) {
-    for (const std::string& address : aMembers.RandomAddresses(aPeers)) {
+  this->state.membership.WithLock([&](Membership& aMembers) {
+    for (const std::string& address : aMembers.RandomAliveAddresses(aPeers)) {
       OutgoingEnvelope message;
       message.address = address;
       message.envelope.set_kind(peer::Envelope::FACTS);
@@ -42,7 +42,7 @@
 Result<void>
 PeerExchange::Start(Worker& aWorker)
 {
-  this->state.spreadFacts = [this] { this->SpreadFacts(kTellAtOnce); };
+  this->state.gossipFacts = [this] { this->GossipFacts(kInitialFanout); };
   this->state.sendToPeer = [this](OutgoingEnvelope aMessage) {
     std::vector<OutgoingEnvelope> one;
     one.push_back(std::move(aMessage));
@@ -50,7 +50,7 @@
   };
   auto started = this->socket.Start();
   if (started) {
-    aWorker.Spawn(this->TickForEver());
+    aWorker.Spawn(this->TickLoop());
   }
   return started;
 }
@@ -62,11 +62,11 @@
 }
 
 void
-PeerExchange::AddCaution(peer::Envelope& aEnvelope, bool aAll)
+PeerExchange::AttachFacts(peer::Envelope& aEnvelope, bool aAll)
 {
-  const std::size_t daemons = this->state.members.With(
-    [](Membership& aMembers) { return aMembers.Alive().size(); });
-  this->state.caution.With([&](Caution& aCaution) {
+  const std::size_t daemons = this->state.membership.WithLock(
+    [](Membership& aMembers) { return aMembers.LiveMembers().size(); });
+  this->state.factTables.WithLock([&](FactTables& aCaution) {
     FactSet& facts = aCaution.facts;
     for (const FactEntry& fact :
          aAll ? facts.All() : facts.TakeForGossip(daemons)) {
@@ -83,7 +83,7 @@
 {
   for (OutgoingEnvelope& message : aMessages) {
     if (message.envelope.facts_size() == 0) {
-      this->AddCaution(message.envelope, false);
+      this->AttachFacts(message.envelope, false);
     }
     message.envelope.set_stamp(
       this->state.events.Clock().Next(this->state.Now()).packed);
@@ -95,15 +95,15 @@
 PeerExchange::Receive(const peer::Envelope& aEnvelope)
 {
   const TimePoint now = this->state.Now();
-  this->state.events.Clock().Observe(Stamp{ aEnvelope.stamp() });
-  auto answers = this->state.members.With(
+  this->state.events.Clock().Observe(HybridTimestamp{ aEnvelope.stamp() });
+  auto answers = this->state.membership.WithLock(
     [&](Membership& aMembers) { return aMembers.Receive(aEnvelope, now); });
   if (aEnvelope.handovers_size() > 0) {
-    KeepHandedOver(this->state, aEnvelope);
+    StoreHandedOver(this->state, aEnvelope);
   }
   bool news = false;
   std::uint64_t ownHash = 0;
-  this->state.caution.With([&](Caution& aCaution) {
+  this->state.factTables.WithLock([&](FactTables& aCaution) {
     for (const peer::Fact& fact : aEnvelope.facts()) {
       const TimePoint expires{ static_cast<std::int64_t>(fact.expires_ms()) };
       news = aCaution.facts.Add(FactEntry{ fact.key(), expires }, now) || news;
@@ -116,10 +116,10 @@
                                 .With("fact", fact.key())
                                 .With("from", aEnvelope.from().id()));
     }
-    ApplyCaution(this->state);
-    this->SpreadFacts(kPassOn);
+    ApplyFactsToRouter(this->state);
+    this->GossipFacts(kForwardFanout);
   }
-  this->TakeEvidence(aEnvelope);
+  this->MergeEvidence(aEnvelope);
   // Sets that differ are sent whole, once per exchange: the sender's answer
   // carries FACTS, which is not answered again.
   const bool differ = ownHash != aEnvelope.facts_hash();
@@ -127,27 +127,27 @@
     OutgoingEnvelope all;
     all.address = aEnvelope.from().address();
     all.envelope.set_kind(peer::Envelope::FACTS);
-    this->state.members.With([&](Membership& aMembers) {
+    this->state.membership.WithLock([&](Membership& aMembers) {
       *all.envelope.mutable_from() = aMembers.Self();
     });
-    this->AddCaution(all.envelope, true);
+    this->AttachFacts(all.envelope, true);
     answers.push_back(std::move(all));
   }
   this->Send(std::move(answers));
 }
 
 void
-PeerExchange::TakeEvidence(const peer::Envelope& aEnvelope)
+PeerExchange::MergeEvidence(const peer::Envelope& aEnvelope)
 {
   if (aEnvelope.evidence_size() == 0) {
     return;
   }
   // A late message about a move that has ended would be kept for ever.
   std::set<Position> running;
-  for (const RunningMove& move : RunningMoves(this->state)) {
-    running.insert(move.state.move);
+  for (const RunningRollout& move : RunningRollouts(this->state)) {
+    running.insert(move.state.rollout);
   }
-  this->state.evidence.With([&](EvidenceTable& aEvidence) {
+  this->state.evidence.WithLock([&](EvidenceTable& aEvidence) {
     for (const peer::Evidence& evidence : aEnvelope.evidence()) {
       if (running.count(Position{ evidence.move() }) != 0) {
         aEvidence.Merge(evidence);
@@ -159,15 +159,18 @@
 void
 PeerExchange::SendEvidence()
 {
-  for (const RunningMove& move : RunningMoves(this->state)) {
-    const auto own = this->state.evidence.With(
-      [&](EvidenceTable& aEvidence) { return aEvidence.Own(move.state.move); });
+  for (const RunningRollout& move : RunningRollouts(this->state)) {
+    const auto own =
+      this->state.evidence.WithLock([&](EvidenceTable& aEvidence) {
+        return aEvidence.LocalEvidence(move.state.rollout);
+      });
     if (own.empty()) {
       continue;
     }
     std::vector<OutgoingEnvelope> messages;
-    this->state.members.With([&](Membership& aMembers) {
-      for (const std::string& owner : OwnersOf(move, aMembers.Owners())) {
+    this->state.membership.WithLock([&](Membership& aMembers) {
+      for (const std::string& owner :
+           RolloutOwners(move, aMembers.EligibleOwners())) {
         const auto found = aMembers.Others().find(owner);
         if (found == aMembers.Others().end()) {
           continue;
@@ -187,20 +190,20 @@
 }
 
 Task<void>
-PeerExchange::TickForEver()
+PeerExchange::TickLoop()
 {
   while (true) {
     const TimePoint now = this->state.Now();
-    this->state.caution.With([&](Caution& aCaution) {
+    this->state.factTables.WithLock([&](FactTables& aCaution) {
       aCaution.facts.Expire(now);
-      aCaution.handed.Expire(now);
+      aCaution.handovers.Expire(now);
     });
-    auto messages = this->state.members.With(
+    auto messages = this->state.membership.WithLock(
       [&](Membership& aMembers) { return aMembers.Tick(now); });
     this->Send(std::move(messages));
     this->SendEvidence();
-    ApplyCaution(this->state);
-    co_await Sleep(kTick);
+    ApplyFactsToRouter(this->state);
+    co_await Sleep(kTickInterval);
   }
 }
 
@@ -208,7 +211,7 @@
 PeerExchange::AnnounceLeaving()
 {
   const TimePoint now = this->state.Now();
-  auto messages = this->state.members.With([&](Membership& aMembers) {
+  auto messages = this->state.membership.WithLock([&](Membership& aMembers) {
     aMembers.Leave();
     return aMembers.Tick(now);
   });
--- a/src/daemon/PeerExchange.h
+++ b/src/daemon/PeerExchange.h
@@ -34,11 +34,11 @@
   void Receive(const peer::Envelope& aEnvelope);
   void Send(std::vector<OutgoingEnvelope> aMessages);
   /** Sends fresh facts to peers now, not with the next probe. */
-  void SpreadFacts(std::size_t aPeers);
-  void AddCaution(peer::Envelope& aEnvelope, bool aAll);
+  void GossipFacts(std::size_t aPeers);
+  void AttachFacts(peer::Envelope& aEnvelope, bool aAll);
   void SendEvidence();
-  void TakeEvidence(const peer::Envelope& aEnvelope);
-  Task<void> TickForEver();
+  void MergeEvidence(const peer::Envelope& aEnvelope);
+  Task<void> TickLoop();
 
   DaemonState& state;
   PeerSocket socket;
--- a/src/daemon/PlainCall.cpp
+++ b/src/daemon/PlainCall.cpp
@@ -1,6 +1,6 @@
 #include "PlainCall.h"
 
-#include "Versions.h"
+#include "VersionShares.h"
 #include "base/Hash.h"
 #include "edge/HttpExchange.h"
 
@@ -9,83 +9,83 @@
 namespace {
 
 constexpr Millis kConnectTimeout{ 300 };
-constexpr Millis kDownAfterFailure{ 1000 };
-constexpr Millis kLogPatience{ 3000 };
-constexpr std::size_t kMostTries = 4;
+constexpr Millis kFailureBackoff{ 1000 };
+constexpr Millis kLogTimeout{ 3000 };
+constexpr std::size_t kMaxTries = 4;
 constexpr unsigned kFirstServerError = 500;
 
 /** How one sending of a call ended. */
-enum class SendEnd
+enum class SendStatus
 {
-  eAnswered,
-  eNothingSent, // no byte has reached the back end
-  eUnclear,     // it may have run
+  eResponded,
+  eNotSent, // no byte has reached the back end
+  eUnclear, // it may have run
 };
 
 struct SendResult
 {
-  SendEnd end = SendEnd::eUnclear;
-  ClaimAnswer answer;
+  SendStatus status = SendStatus::eUnclear;
+  ClaimOutcome response;
   std::string reason;
 };
 
-PlainEnd
-Ended(CallOutcome aOutcome, std::string aReason)
+PlainCallResult
+FailedWith(RequestOutcome aOutcome, std::string aReason)
 {
-  PlainEnd end;
-  end.end = CallEnd{ aOutcome, std::move(aReason), 1 };
+  PlainCallResult end;
+  end.result = RequestResult{ aOutcome, std::move(aReason), 1 };
   return end;
 }
 
-PlainEnd
-Completed(ClaimAnswer aAnswer)
+PlainCallResult
+CompletedWith(ClaimOutcome aAnswer)
 {
-  PlainEnd end;
-  end.end = CallEnd{ CallOutcome::eCompleted, {}, 0 };
-  end.answer = std::move(aAnswer);
+  PlainCallResult end;
+  end.result = RequestResult{ RequestOutcome::eCompleted, {}, 0 };
+  end.response = std::move(aAnswer);
   return end;
 }
 
-PlainEnd
-Mistaken(std::string aText)
+PlainCallResult
+InvalidRequest(std::string aText)
 {
-  PlainEnd end = Ended(CallOutcome::eNotRun, aText);
-  end.mistake = std::move(aText);
+  PlainCallResult end = FailedWith(RequestOutcome::eNotRun, aText);
+  end.callerError = std::move(aText);
   return end;
 }
 
 Task<SendResult>
-SendTo(DaemonState& aState,
-       Worker& aWorker,
-       const PlainRequest& aRequest,
-       EngineChoice aChoice,
-       AttemptId aAttempt)
+CallBackend(DaemonState& aState,
+            Worker& aWorker,
+            const PlainRequest& aRequest,
+            EngineChoice aChoice,
+            AttemptId aAttempt)
 {
   SendResult result;
   const auto endpoint = ParseEndpoint(aChoice.address);
   if (!endpoint) {
-    result.end = SendEnd::eNothingSent;
+    result.status = SendStatus::eNotSent;
     co_return result;
   }
   HttpRequest request = MakeRequest(
     aRequest.method, aRequest.target, aRequest.body, aRequest.contentType);
   request.set("Attempt-Id", aAttempt.value);
   request.set("Toucanshed-Request", aRequest.id.value);
-  const bool once = !aRequest.key.empty();
+  const bool once = !aRequest.idempotencyKey.empty();
   if (once) {
-    request.set("Idempotency-Key", aRequest.key);
+    request.set("Idempotency-Key", aRequest.idempotencyKey);
   }
   CallTimeouts timeouts;
   timeouts.connect = kConnectTimeout;
   timeouts.head = Millis(aRequest.route.timeout_ms());
-  timeouts.gap = timeouts.head;
+  timeouts.bodyIdle = timeouts.head;
   // A call that may not be repeated gets a new connection: on a reused one a
   // failed send leaves open whether the back end has taken the call.
   auto reply =
     co_await Fetch(aWorker, *endpoint, std::move(request), timeouts, once);
   if (!reply) {
     const bool nothing = reply.error().phase == CallPhase::eConnect;
-    result.end = nothing ? SendEnd::eNothingSent : SendEnd::eUnclear;
+    result.status = nothing ? SendStatus::eNotSent : SendStatus::eUnclear;
     result.reason = reply.error().message;
     co_return result;
   }
@@ -95,8 +95,8 @@
     result.reason = "the answer belongs to another attempt";
     co_return result;
   }
-  result.end = SendEnd::eAnswered;
-  result.answer = ClaimAnswer{
+  result.status = SendStatus::eResponded;
+  result.response = ClaimOutcome{
     false, reply->result_int(), HeaderOf(*reply, "Content-Type"), reply->body()
   };
   co_return result;
@@ -109,101 +109,102 @@
 {
   RouteRequest route;
   route.service = aRequest.service;
-  route.version = ChooseVersion(SharesNow(aState, aRequest.service),
+  route.version = ChooseVersion(CurrentShares(aState, aRequest.service),
                                 Hash64(aRequest.id.value));
   route.zone = aState.settings.zone;
-  route.avoid = aAvoid;
+  route.excluded = aAvoid;
   const TimePoint now = aState.Now();
-  return aState.router.With(
+  return aState.router.WithLock(
     [&](Router& aRouter) { return aRouter.Pick(route, now); });
 }
 
 void
-GiveBack(DaemonState& aState,
-         const PlainRequest& aRequest,
-         const EngineChoice& aChoice,
-         const SendResult& aResult,
-         double aMs)
+RecordSendResult(DaemonState& aState,
+                 const PlainRequest& aRequest,
+                 const EngineChoice& aChoice,
+                 const SendResult& aResult,
+                 double aMs)
 {
-  EngineEnding ending;
-  ending.answered = aResult.end == SendEnd::eAnswered;
-  ending.firstTokenMs = ending.answered ? aMs : -1;
+  EngineResult ending;
+  ending.completed = aResult.status == SendStatus::eResponded;
+  ending.firstTokenMs = ending.completed ? aMs : -1;
   ending.totalMs = aMs;
-  const TimePoint until = aState.Now() + kDownAfterFailure;
-  aState.router.With([&](Router& aRouter) {
+  const TimePoint until = aState.Now() + kFailureBackoff;
+  aState.router.WithLock([&](Router& aRouter) {
     aRouter.Finish(aChoice, ending);
-    if (aResult.end == SendEnd::eNothingSent) {
-      aRouter.MarkDown(aChoice.Life(), until);
+    if (aResult.status == SendStatus::eNotSent) {
+      aRouter.MarkDown(aChoice.IncarnationKey(), until);
     }
   });
   Observation observation;
-  observation.error = aResult.end != SendEnd::eAnswered ||
-                      aResult.answer.status >= kFirstServerError;
+  observation.error = aResult.status != SendStatus::eResponded ||
+                      aResult.response.status >= kFirstServerError;
   observation.firstTokenMs = aMs;
-  ObserveVersion(aState,
-                 aRequest.service,
-                 aChoice.version,
-                 aRequest.route.prefix(),
-                 observation);
+  RecordObservation(aState,
+                    aRequest.service,
+                    aChoice.version,
+                    aRequest.route.prefix(),
+                    observation);
 }
 
 /** Sends to one back end and gives its place back. */
 Task<SendResult>
-SendOnce(DaemonState& aState,
-         Worker& aWorker,
-         const PlainRequest& aRequest,
-         const EngineChoice& aChoice,
-         const AttemptId& aAttempt)
+SendAndRecord(DaemonState& aState,
+              Worker& aWorker,
+              const PlainRequest& aRequest,
+              const EngineChoice& aChoice,
+              const AttemptId& aAttempt)
 {
   aState.events.Emit(Event("attempt.sent")
                        .With("request", aRequest.id)
                        .With("attempt", aAttempt)
-                       .With("backend", aChoice.Life()));
+                       .With("backend", aChoice.IncarnationKey()));
   const auto start = std::chrono::steady_clock::now();
   SendResult result =
-    co_await SendTo(aState, aWorker, aRequest, aChoice, aAttempt);
+    co_await CallBackend(aState, aWorker, aRequest, aChoice, aAttempt);
   const double ms = std::chrono::duration<double, std::milli>(
                       std::chrono::steady_clock::now() - start)
                       .count();
-  GiveBack(aState, aRequest, aChoice, result, ms);
+  RecordSendResult(aState, aRequest, aChoice, result, ms);
   co_return result;
 }
 
 } // namespace
 
-Task<PlainEnd>
-RunRepeatable(DaemonState& aState, Worker& aWorker, PlainRequest aRequest)
+Task<PlainCallResult>
+RunRetryable(DaemonState& aState, Worker& aWorker, PlainRequest aRequest)
 {
-  aState.retries.With([](RetryBudget& aBudget) { aBudget.FirstTry(); });
+  aState.retryBudget.WithLock(
+    [](RetryBudget& aBudget) { aBudget.RecordRequest(); });
   std::set<std::string> tried;
   std::string reason = "no back end serves it now";
   bool sent = false;
-  for (std::size_t tries = 0; tries < kMostTries; ++tries) {
+  for (std::size_t tries = 0; tries < kMaxTries; ++tries) {
     const auto choice = PickBackend(aState, aRequest, tried);
     if (!choice) {
       break;
     }
     const AttemptId attempt{ aState.NewId("a") };
     const SendResult result =
-      co_await SendOnce(aState, aWorker, aRequest, *choice, attempt);
-    const bool good = result.end == SendEnd::eAnswered &&
-                      result.answer.status < kFirstServerError;
+      co_await SendAndRecord(aState, aWorker, aRequest, *choice, attempt);
+    const bool good = result.status == SendStatus::eResponded &&
+                      result.response.status < kFirstServerError;
     if (good) {
-      co_return Completed(result.answer);
+      co_return CompletedWith(result.response);
     }
-    sent = sent || result.end != SendEnd::eNothingSent;
+    sent = sent || result.status != SendStatus::eNotSent;
     reason = result.reason.empty() ? "the back end failed" : result.reason;
-    tried.insert(choice->Life());
-    const bool again = result.end == SendEnd::eNothingSent ||
-                       aState.retries.With([](RetryBudget& aBudget) {
-                         return aBudget.TakeRetry();
+    tried.insert(choice->IncarnationKey());
+    const bool again = result.status == SendStatus::eNotSent ||
+                       aState.retryBudget.WithLock([](RetryBudget& aBudget) {
+                         return aBudget.TryTakeRetry();
                        });
     if (!again) {
       break;
     }
   }
-  co_return Ended(sent ? CallOutcome::eMayHaveRun : CallOutcome::eNotRun,
-                  reason);
+  co_return FailedWith(
+    sent ? RequestOutcome::eMayHaveRun : RequestOutcome::eNotRun, reason);
 }
 
 namespace {
@@ -213,9 +214,9 @@
 AwaitReadBack(DaemonState& aState, Worker& aWorker, AttemptId aAttempt)
 {
   ClaimPhase phase = ClaimPhase::eClaiming;
-  const TimePoint limit = aState.Now() + kLogPatience;
-  co_await AwaitFolded(aState, aWorker, limit, [&] {
-    phase = *aState.claims.With(
+  const TimePoint limit = aState.Now() + kLogTimeout;
+  co_await AwaitApplied(aState, aWorker, limit, [&] {
+    phase = *aState.claims.WithLock(
       [&](ClaimCoordinator& aClaims) { return aClaims.PhaseOf(aAttempt); });
     return phase != ClaimPhase::eClaiming;
   });
@@ -224,12 +225,12 @@
 
 /** Whether the life that claimed a call is still among the daemons. */
 bool
-ClaimantLives(DaemonState& aState, const WriterId& aClaimant)
+IsClaimantAlive(DaemonState& aState, const WriterId& aClaimant)
 {
   if (aClaimant == aState.writer) {
     return true;
   }
-  return aState.members.With([&](Membership& aMembers) {
+  return aState.membership.WithLock([&](Membership& aMembers) {
     for (const auto& [id, view] : aMembers.Others()) {
       const std::string life = id + "/" + std::to_string(view.member.life());
       if (life == aClaimant.value) {
@@ -241,9 +242,9 @@
 }
 
 std::optional<ClaimEntry>
-EntryOf(DaemonState& aState, const CallKey& aKey)
+FindClaimEntry(DaemonState& aState, const IdempotencyKey& aKey)
 {
-  return aState.claims.With(
+  return aState.claims.WithLock(
     [&](ClaimCoordinator& aClaims) -> std::optional<ClaimEntry> {
       const ClaimEntry* found = aClaims.Table().Find(aKey);
       return found == nullptr ? std::nullopt
@@ -253,129 +254,131 @@
 
 /** Waits for the end of a call that another attempt holds. There is no sense
  * in waiting for a claimant that is gone: nobody else may run its call. */
-Task<PlainEnd>
-AwaitOther(DaemonState& aState,
-           Worker& aWorker,
-           const PlainRequest& aRequest,
-           CallKey aKey)
+Task<PlainCallResult>
+AwaitOtherAttempt(DaemonState& aState,
+                  Worker& aWorker,
+                  const PlainRequest& aRequest,
+                  IdempotencyKey aKey)
 {
   std::optional<ClaimEntry> entry;
-  co_await AwaitFolded(aState, aWorker, aRequest.deadline, [&] {
-    entry = EntryOf(aState, aKey);
-    return !entry || entry->answer ||
+  co_await AwaitApplied(aState, aWorker, aRequest.deadline, [&] {
+    entry = FindClaimEntry(aState, aKey);
+    return !entry || entry->outcome ||
            entry->fingerprint != aRequest.fingerprint ||
-           !ClaimantLives(aState, entry->claimant);
+           !IsClaimantAlive(aState, entry->claimant);
   });
   if (!entry) {
-    co_return Ended(CallOutcome::eNotRun,
-                    "an earlier call with this key was given up");
+    co_return FailedWith(RequestOutcome::eNotRun,
+                         "an earlier call with this key was given up");
   }
   if (entry->fingerprint != aRequest.fingerprint) {
-    co_return Mistaken("Idempotency-Key: given a key that was used for "
-                       "another request, allowed a new key");
+    co_return InvalidRequest("Idempotency-Key: given a key that was used for "
+                             "another request, allowed a new key");
   }
-  if (!entry->answer) {
-    co_return Ended(CallOutcome::eMayHaveRun,
-                    "an earlier call with this key has not ended");
+  if (!entry->outcome) {
+    co_return FailedWith(RequestOutcome::eMayHaveRun,
+                         "an earlier call with this key has not ended");
   }
-  if (entry->answer->unclear) {
-    co_return Ended(CallOutcome::eMayHaveRun,
-                    "an earlier call with this key ended unclear");
+  if (entry->outcome->unclear) {
+    co_return FailedWith(RequestOutcome::eMayHaveRun,
+                         "an earlier call with this key ended unclear");
   }
-  co_return Completed(*entry->answer);
+  co_return CompletedWith(*entry->outcome);
 }
 
 /** Gives an attempt up before it was sent. */
-PlainEnd
+PlainCallResult
 AbandonCall(DaemonState& aState, const AttemptId& aAttempt, std::string aReason)
 {
-  aState.claims.With([&](ClaimCoordinator& aClaims) {
+  aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
     Invariant(aClaims.Abandon(aAttempt),
               "an attempt that was not sent can be abandoned");
     aClaims.Release(aAttempt);
   });
-  aState.appended.NotifyAll();
-  return Ended(CallOutcome::eNotRun, std::move(aReason));
+  aState.appendRequested.NotifyAll();
+  return FailedWith(RequestOutcome::eNotRun, std::move(aReason));
 }
 
 /** Sends an owned call, once. A back end that cannot be reached has taken
  * nothing, so another may be tried; after the first byte nothing is tried
  * again. */
-Task<PlainEnd>
-SendOwned(DaemonState& aState,
-          Worker& aWorker,
-          const PlainRequest& aRequest,
-          AttemptId aAttempt)
+Task<PlainCallResult>
+SendClaimed(DaemonState& aState,
+            Worker& aWorker,
+            const PlainRequest& aRequest,
+            AttemptId aAttempt)
 {
   std::set<std::string> tried;
   SendResult result;
-  result.end = SendEnd::eNothingSent;
+  result.status = SendStatus::eNotSent;
   result.reason = "no back end serves it now";
-  while (result.end == SendEnd::eNothingSent && tried.size() < kMostTries) {
+  while (result.status == SendStatus::eNotSent && tried.size() < kMaxTries) {
     const auto choice = PickBackend(aState, aRequest, tried);
     if (!choice) {
       break;
     }
-    tried.insert(choice->Life());
-    result = co_await SendOnce(aState, aWorker, aRequest, *choice, aAttempt);
+    tried.insert(choice->IncarnationKey());
+    result =
+      co_await SendAndRecord(aState, aWorker, aRequest, *choice, aAttempt);
   }
-  PlainEnd end;
-  aState.claims.With([&](ClaimCoordinator& aClaims) {
-    if (result.end == SendEnd::eAnswered) {
-      aClaims.Answered(aAttempt, result.answer);
-      end = Completed(result.answer);
-    } else if (result.end == SendEnd::eUnclear) {
-      aClaims.Lost(aAttempt);
-      end = Ended(CallOutcome::eMayHaveRun, result.reason);
+  PlainCallResult end;
+  aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
+    if (result.status == SendStatus::eResponded) {
+      aClaims.Complete(aAttempt, result.response);
+      end = CompletedWith(result.response);
+    } else if (result.status == SendStatus::eUnclear) {
+      aClaims.MarkUnclear(aAttempt);
+      end = FailedWith(RequestOutcome::eMayHaveRun, result.reason);
     } else {
       // Dispatched, yet no byte has left: the attempt is over and the key
       // free again.
-      aClaims.Withdraw(aAttempt);
-      end = Ended(CallOutcome::eNotRun, result.reason);
+      aClaims.AbandonUnsent(aAttempt);
+      end = FailedWith(RequestOutcome::eNotRun, result.reason);
     }
     aClaims.Release(aAttempt);
   });
-  aState.appended.NotifyAll();
+  aState.appendRequested.NotifyAll();
   co_return end;
 }
 
 } // namespace
 
-Task<PlainEnd>
-RunOnce(DaemonState& aState, Worker& aWorker, PlainRequest aRequest)
+Task<PlainCallResult>
+RunAtMostOnce(DaemonState& aState, Worker& aWorker, PlainRequest aRequest)
 {
-  const CallKey key{ aRequest.team.value + "/" + aRequest.service.value + "/" +
-                     aRequest.key };
+  const IdempotencyKey key{ aRequest.team.value + "/" + aRequest.service.value +
+                            "/" + aRequest.idempotencyKey };
   const AttemptId attempt{ aState.NewId("a") };
   const TimePoint now = aState.Now();
-  const ClaimAsk ask = aState.claims.With([&](ClaimCoordinator& aClaims) {
-    return aClaims.Ask(key, aRequest.fingerprint, attempt, now);
+  const KeyStatus ask = aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
+    return aClaims.TryClaim(key, aRequest.fingerprint, attempt, now);
   });
-  if (ask == ClaimAsk::eOutsideWindow) {
-    co_return Mistaken("Idempotency-Key: given a time outside the window "
-                       "kept, allowed a key made just now");
+  if (ask == KeyStatus::eOutsideWindow) {
+    co_return InvalidRequest("Idempotency-Key: given a time outside the window "
+                             "kept, allowed a key made just now");
   }
-  if (ask != ClaimAsk::eClaiming) {
-    co_return co_await AwaitOther(aState, aWorker, aRequest, key);
+  if (ask != KeyStatus::eClaiming) {
+    co_return co_await AwaitOtherAttempt(aState, aWorker, aRequest, key);
   }
-  aState.appended.NotifyAll();
+  aState.appendRequested.NotifyAll();
   const ClaimPhase phase = co_await AwaitReadBack(aState, aWorker, attempt);
-  if (phase == ClaimPhase::eForeign) {
-    aState.claims.With(
+  if (phase == ClaimPhase::eHeldByOther) {
+    aState.claims.WithLock(
       [&](ClaimCoordinator& aClaims) { aClaims.Release(attempt); });
-    co_return co_await AwaitOther(aState, aWorker, aRequest, key);
+    co_return co_await AwaitOtherAttempt(aState, aWorker, aRequest, key);
   }
   if (phase == ClaimPhase::eClaiming) {
     co_return AbandonCall(aState, attempt, "the log does not answer");
   }
   const TimePoint sending = aState.Now();
-  const bool dispatched = aState.claims.With([&](ClaimCoordinator& aClaims) {
-    return aClaims.Dispatch(attempt, sending);
-  });
+  const bool dispatched =
+    aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
+      return aClaims.Dispatch(attempt, sending);
+    });
   if (!dispatched) {
     co_return AbandonCall(aState, attempt, "the key has grown too old");
   }
-  co_return co_await SendOwned(aState, aWorker, aRequest, attempt);
+  co_return co_await SendClaimed(aState, aWorker, aRequest, attempt);
 }
 
 } // namespace toucanshed
--- a/src/daemon/PlainCall.h
+++ b/src/daemon/PlainCall.h
@@ -22,29 +22,30 @@
   std::string target; // as the service sees it
   std::string contentType;
   std::string body;
-  std::string key; // Idempotency-Key; empty when the call may be repeated
+  std::string
+    idempotencyKey; // Idempotency-Key; empty when the call may be repeated
   Fingerprint fingerprint;
   TimePoint deadline;
 };
 
 /** How the call ended and, if it completed, with what. */
-struct PlainEnd
+struct PlainCallResult
 {
-  CallEnd end;
+  RequestResult result;
   /** The key was used for another request, or is malformed: the caller's
    * mistake, which waiting does not mend. */
-  std::optional<std::string> mistake;
-  ClaimAnswer answer;
+  std::optional<std::string> callerError;
+  ClaimOutcome response;
 };
 
 /** Runs a call that may be repeated: tries back ends until one answers.
  * Thread safety: belongs to aWorker. */
-Task<PlainEnd>
-RunRepeatable(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
+Task<PlainCallResult>
+RunRetryable(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
 
 /** Runs a call that may not be repeated at most once over all daemons, or
  * gives the answer that an earlier call with the key had. */
-Task<PlainEnd>
-RunOnce(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
+Task<PlainCallResult>
+RunAtMostOnce(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
 
 } // namespace toucanshed
--- a/src/daemon/CallEnd.h
+++ b/src/daemon/RequestResult.h
@@ -9,7 +9,7 @@
 namespace toucanshed {
 
 /** What is said to the caller of how a request ended. */
-enum class CallOutcome
+enum class RequestOutcome
 {
   eCompleted,
   eNotRun,     // no back end has run any of it, and none will
@@ -19,12 +19,12 @@
 
 /** The outcome, and for one that is not "completed" why and when to come
  * back. */
-struct CallEnd
+struct RequestResult
 {
-  CallOutcome outcome = CallOutcome::eNotRun;
+  RequestOutcome outcome = RequestOutcome::eNotRun;
   std::string reason;
   std::uint64_t retryAfterSeconds = 1;
-  bool overShare = false; // the team has too much waiting already
+  bool teamQueueFull = false; // the team has too much waiting already
 };
 
 } // namespace toucanshed
--- a/src/daemon/MoveDriver.h
+++ b/src/daemon/RolloutDriver.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "DaemonState.h"
-#include "coord/MovePlanner.h"
+#include "coord/RolloutPlanner.h"
 
 #include <string>
 #include <vector>
@@ -12,23 +12,24 @@
 namespace toucanshed {
 
 /** A running move with what its document asks. */
-struct RunningMove
+struct RunningRollout
 {
-  MoveState state;
-  config::Move asked;
+  RolloutState state;
+  config::Move spec;
 };
 
 /** Moves that run now. Thread safety: any thread. */
-std::vector<RunningMove>
-RunningMoves(DaemonState& aState);
+std::vector<RunningRollout>
+RunningRollouts(DaemonState& aState);
 
 /** The daemons that gather a move's evidence and propose its steps: two, so
  * that one may fail. It is a hint; the log decides. */
 std::vector<std::string>
-OwnersOf(const RunningMove& aMove, const std::vector<std::string>& aDaemons);
+RolloutOwners(const RunningRollout& aMove,
+              const std::vector<std::string>& aDaemons);
 
 /** Judges all moves for ever. Precondition: spawned once. */
 Task<void>
-DriveMoves(DaemonState& aState);
+DriveRollouts(DaemonState& aState);
 
 } // namespace toucanshed
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-using Complaints = std::vector<Complaint>;
+using ValidationErrors = std::vector<ValidationError>;
 
 std::uint64_t
-Ranged(std::uint64_t aGiven,
-       std::uint64_t aDefault,
-       std::uint64_t aLeast,
-       std::uint64_t aMost,
-       const char* aPath,
-       Complaints& aComplaints)
+CheckRange(std::uint64_t aGiven,
+           std::uint64_t aDefault,
+           std::uint64_t aLeast,
+           std::uint64_t aMost,
+           const char* aPath,
+           ValidationErrors& aComplaints)
 {
   const std::uint64_t value = aGiven == 0 ? aDefault : aGiven;
   if (value < aLeast || value > aMost) {
-    aComplaints.push_back(
-      Complaint{ aPath,
-                 std::to_string(aGiven),
-                 std::to_string(aLeast) + " to " + std::to_string(aMost) });
+    aComplaints.push_back(ValidationError{ aPath,
+                                           std::to_string(aGiven),
+                                           std::to_string(aLeast) + " to " +
+                                             std::to_string(aMost) });
   }
   return value;
 }
@@ -32,21 +32,22 @@
 void
 RequireText(const std::string& aGiven,
             const char* aPath,
-            Complaints& aComplaints)
+            ValidationErrors& aComplaints)
 {
   if (aGiven.empty()) {
-    aComplaints.push_back(Complaint{ aPath, "nothing", "a value" });
+    aComplaints.push_back(ValidationError{ aPath, "nothing", "a value" });
   }
 }
 
 Endpoint
-EndpointAt(const std::string& aGiven,
-           const char* aPath,
-           Complaints& aComplaints)
+CheckEndpoint(const std::string& aGiven,
+              const char* aPath,
+              ValidationErrors& aComplaints)
 {
   const auto endpoint = ParseEndpoint(aGiven);
   if (!endpoint) {
-    aComplaints.push_back(Complaint{ aPath, "\"" + aGiven + "\"", "IP:PORT" });
+    aComplaints.push_back(
+      ValidationError{ aPath, "\"" + aGiven + "\"", "IP:PORT" });
     return {};
   }
   return *endpoint;
@@ -55,11 +56,11 @@
 void
 ReadPorts(const settings::DaemonSettings& aGiven,
           Settings& aSettings,
-          Complaints& aComplaints)
+          ValidationErrors& aComplaints)
 {
   constexpr std::uint64_t kMostPort = 65535;
   const auto port = [&](std::uint32_t aPort, const char* aPath) {
-    const auto checked = Ranged(aPort, 0, 1, kMostPort, aPath, aComplaints);
+    const auto checked = CheckRange(aPort, 0, 1, kMostPort, aPath, aComplaints);
     return aSettings.address + ":" + std::to_string(checked);
   };
   const auto known = aComplaints.size();
@@ -69,12 +70,12 @@
   if (aComplaints.size() > known) {
     return;
   }
-  aSettings.callers = EndpointAt(callers, "address", aComplaints);
-  aSettings.operators = EndpointAt(operators, "address", aComplaints);
+  aSettings.callerEndpoint = CheckEndpoint(callers, "address", aComplaints);
+  aSettings.operatorEndpoint = CheckEndpoint(operators, "address", aComplaints);
   const bool clash = callers == operators || callers == aSettings.peerAddress ||
                      operators == aSettings.peerAddress;
   if (clash) {
-    aComplaints.push_back(Complaint{
+    aComplaints.push_back(ValidationError{
       "operator_port", "a port that is used twice", "three different ports" });
   }
 }
@@ -82,7 +83,7 @@
 void
 ReadTeams(const settings::DaemonSettings& aGiven,
           Settings& aSettings,
-          Complaints& aComplaints)
+          ValidationErrors& aComplaints)
 {
   constexpr std::size_t kHashDigits = 64;
   for (int i = 0; i < aGiven.teams_size(); ++i) {
@@ -94,9 +95,9 @@
       hash.size() == kHashDigits &&
       hash.find_first_not_of("0123456789abcdef") == std::string::npos;
     if (!hex) {
-      aComplaints.push_back(Complaint{ path + ".token_sha256",
-                                       "\"" + hash + "\"",
-                                       "64 lower-case hex digits" });
+      aComplaints.push_back(ValidationError{ path + ".token_sha256",
+                                             "\"" + hash + "\"",
+                                             "64 lower-case hex digits" });
     }
     aSettings.teamsByTokenHash[hash] = TeamId{ team.team() };
   }
@@ -105,38 +106,39 @@
 void
 ReadKeys(const settings::DaemonSettings& aGiven,
          Settings& aSettings,
-         Complaints& aComplaints)
+         ValidationErrors& aComplaints)
 {
   constexpr std::size_t kKeyLetters = 40;
-  aSettings.keys =
+  aSettings.peerKeys =
     PeerKeys{ aGiven.curve().public_key(), aGiven.curve().secret_key() };
   const auto good = [](const std::string& aKey) {
     return aKey.empty() || aKey.size() == kKeyLetters;
   };
-  const bool both =
-    aSettings.keys.publicKey.empty() == aSettings.keys.secretKey.empty();
-  if (!both || !good(aSettings.keys.publicKey) ||
-      !good(aSettings.keys.secretKey)) {
-    aComplaints.push_back(Complaint{ "curve",
-                                     "keys of other lengths, or one alone",
-                                     "two keys of 40 letters, or none" });
+  const bool both = aSettings.peerKeys.publicKey.empty() ==
+                    aSettings.peerKeys.secretKey.empty();
+  if (!both || !good(aSettings.peerKeys.publicKey) ||
+      !good(aSettings.peerKeys.secretKey)) {
+    aComplaints.push_back(
+      ValidationError{ "curve",
+                       "keys of other lengths, or one alone",
+                       "two keys of 40 letters, or none" });
   }
 }
 
 } // namespace
 
-tl::expected<Settings, Complaints>
+tl::expected<Settings, ValidationErrors>
 ParseSettings(const std::string& aJson)
 {
   settings::DaemonSettings given;
-  Complaints complaints;
+  ValidationErrors complaints;
   const auto status =
     google::protobuf::util::JsonStringToMessage(aJson, &given);
   if (!status.ok()) {
-    complaints.push_back(Complaint{ "settings",
-                                    std::string(status.message()),
-                                    "JSON of the settings schema" });
-    return tl::unexpected<Complaints>(complaints);
+    complaints.push_back(ValidationError{ "settings",
+                                          std::string(status.message()),
+                                          "JSON of the settings schema" });
+    return tl::unexpected<ValidationErrors>(complaints);
   }
   Settings settings;
   settings.id = DaemonId{ given.id() };
@@ -145,37 +147,40 @@
   RequireText(given.id(), "id", complaints);
   RequireText(given.zone(), "zone", complaints);
   ReadPorts(given, settings, complaints);
-  settings.log = EndpointAt(given.log(), "log", complaints);
-  settings.instances = EndpointAt(given.instances(), "instances", complaints);
+  settings.logEndpoint = CheckEndpoint(given.log(), "log", complaints);
+  settings.instancesEndpoint =
+    CheckEndpoint(given.instances(), "instances", complaints);
   ReadTeams(given, settings, complaints);
   ReadKeys(given, settings, complaints);
-  settings.workers = Ranged(given.workers(), 2, 1, 64, "workers", complaints);
-  settings.maxBodyBytes = Ranged(given.max_body_bytes(),
-                                 1U << 20U,
-                                 1024,
-                                 64U << 20U,
-                                 "max_body_bytes",
-                                 complaints);
-  settings.maxInFlight =
-    Ranged(given.max_in_flight(), 2000, 1, 100000, "max_in_flight", complaints);
-  settings.keyWindow = Millis(
+  settings.workerCount =
+    CheckRange(given.workers(), 2, 1, 64, "workers", complaints);
+  settings.maxBodyBytes = CheckRange(given.max_body_bytes(),
+                                     1U << 20U,
+                                     1024,
+                                     64U << 20U,
+                                     "max_body_bytes",
+                                     complaints);
+  settings.maxInFlight = CheckRange(
+    given.max_in_flight(), 2000, 1, 100000, "max_in_flight", complaints);
+  settings.idempotencyWindow = Millis(
     1000 *
-    Ranged(given.key_window_s(), 3600, 60, 604800, "key_window_s", complaints));
-  settings.balancerDelay = Millis(Ranged(given.balancer_delay_ms(),
-                                         1500,
-                                         1,
-                                         600000,
-                                         "balancer_delay_ms",
-                                         complaints));
-  settings.drain = Millis(
-    Ranged(given.drain_ms(), 600000, 1, 3600000, "drain_ms", complaints));
+    CheckRange(
+      given.key_window_s(), 3600, 60, 604800, "key_window_s", complaints));
+  settings.balancerRemovalDelay = Millis(CheckRange(given.balancer_delay_ms(),
+                                                    1500,
+                                                    1,
+                                                    600000,
+                                                    "balancer_delay_ms",
+                                                    complaints));
+  settings.drainTimeout = Millis(
+    CheckRange(given.drain_ms(), 600000, 1, 3600000, "drain_ms", complaints));
   settings.logLevel = given.log_level().empty() ? "info" : given.log_level();
   if (settings.logLevel != "info" && settings.logLevel != "error") {
-    complaints.push_back(Complaint{
+    complaints.push_back(ValidationError{
       "log_level", "\"" + settings.logLevel + "\"", "error or info" });
   }
   if (!complaints.empty()) {
-    return tl::unexpected<Complaints>(complaints);
+    return tl::unexpected<ValidationErrors>(complaints);
   }
   return settings;
 }
--- a/src/daemon/Settings.h
+++ b/src/daemon/Settings.h
@@ -3,8 +3,8 @@
  */
 #pragma once
 
-#include "base/Complaint.h"
 #include "base/Types.h"
+#include "base/ValidationError.h"
 #include "edge/Endpoint.h"
 #include "edge/PeerSocket.h"
 
@@ -20,24 +20,24 @@
   DaemonId id;
   ZoneId zone;
   std::string address;
-  Endpoint callers;
-  Endpoint operators;
+  Endpoint callerEndpoint;
+  Endpoint operatorEndpoint;
   std::string peerAddress; // IP:PORT
-  Endpoint log;
-  Endpoint instances;
+  Endpoint logEndpoint;
+  Endpoint instancesEndpoint;
   std::map<std::string, TeamId> teamsByTokenHash;
-  PeerKeys keys;
-  std::size_t workers = 2;
+  PeerKeys peerKeys;
+  std::size_t workerCount = 2;
   std::uint64_t maxBodyBytes = 1U << 20U;
   std::size_t maxInFlight = 2000;
-  Millis keyWindow{ 3600000 };
-  Millis balancerDelay{ 1500 };
-  Millis drain{ 600000 };
+  Millis idempotencyWindow{ 3600000 };
+  Millis balancerRemovalDelay{ 1500 };
+  Millis drainTimeout{ 600000 };
   std::string logLevel = "info";
 };
 
 /** Parses and checks a settings file in JSON. Thread safety: pure function. */
-tl::expected<Settings, std::vector<Complaint>>
+tl::expected<Settings, std::vector<ValidationError>>
 ParseSettings(const std::string& aJson);
 
 } // namespace toucanshed
--- a/src/daemon/SnapshotKeeper.h
+++ b/src/daemon/SnapshotWriter.h
@@ -11,6 +11,6 @@
  * time have gone by since the last one in the log. The daemon that does it is
  * a hint by rendezvous; a snapshot too many does no harm. */
 Task<void>
-KeepSnapshots(DaemonState& aState);
+WriteSnapshots(DaemonState& aState);
 
 } // namespace toucanshed
--- a/src/daemon/Versions.h
+++ b/src/daemon/VersionShares.h
@@ -13,16 +13,16 @@
 /** Shares in force, as the log and the facts heard say; empty when the service
  * is not configured. Thread safety: may be called from any thread. */
 std::vector<VersionShare>
-SharesNow(DaemonState& aState, const ServiceId& aService);
+CurrentShares(DaemonState& aState, const ServiceId& aService);
 
 /** Counts what an attempt showed of a version, if a move is running.
  * \return the version to try instead when this one is the move's new one. */
 std::optional<VersionId>
-ObserveVersion(DaemonState& aState,
-               const ServiceId& aService,
-               const VersionId& aVersion,
-               const std::string& aRoute,
-               const Observation& aObservation);
+RecordObservation(DaemonState& aState,
+                  const ServiceId& aService,
+                  const VersionId& aVersion,
+                  const std::string& aRoute,
+                  const Observation& aObservation);
 
 /** Makes the router keep off engines that facts reserve for one request. */
 void
--- a/src/daemon/WorkRunner.h
+++ b/src/daemon/WorkRunner.h
@@ -12,7 +12,7 @@
 
 /** Takes work in. The answer is 202 only once the acceptance is read back
  * from the log, from when on any daemon can finish it. */
-Task<HttpReply>
+Task<HttpResponse>
 AcceptWork(DaemonState& aState,
            Worker& aWorker,
            TeamId aTeam,
@@ -21,11 +21,11 @@
            std::string aBody);
 
 /** The state or result of accepted work. Thread safety: any thread. */
-HttpReply
-AnswerWork(DaemonState& aState, const TeamId& aTeam, const WorkId& aId);
+HttpResponse
+WorkStatusResponse(DaemonState& aState, const TeamId& aTeam, const WorkId& aId);
 
 /** Runs the work that falls to this daemon, for ever. */
 Task<void>
-RunOwnedWork(DaemonState& aState, Worker& aWorker);
+RunAssignedWork(DaemonState& aState, Worker& aWorker);
 
 } // namespace toucanshed
--- a/src/daemon/main/main.cpp
+++ b/src/daemon/main/main.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 /** Log lines are gathered to one write of this many bytes. */
-constexpr std::size_t kLogGather = 2048;
+constexpr std::size_t kLogFlushThreshold = 2048;
 constexpr int kExitUsage = 2;
 constexpr int kExitSettings = 3;
 constexpr int kExitPorts = 4;
@@ -37,17 +37,17 @@
 }
 
 int
-RunOnPlatform(const std::string& aPath)
+RunServingDaemon(const std::string& aPath)
 {
   const auto read = [aPath] {
     return platform::ParseServingSettings(ReadFile(aPath));
   };
   auto settings = read();
   if (!settings) {
-    std::cerr << Describe(settings.error());
+    std::cerr << FormatValidationErrors(settings.error());
     return kExitSettings;
   }
-  static LogWriter sWriter(STDOUT_FILENO, kLogGather);
+  static LogWriter sWriter(STDOUT_FILENO, kLogFlushThreshold);
   StartLogging("info", sWriter);
   ServingDaemon daemon(
     std::move(*settings), platform::MakeWireFormats(), read, sWriter);
@@ -69,11 +69,11 @@
     return kExitSettings;
   }
   if (platform::IsPlatformSettings(text)) {
-    return RunOnPlatform(aPath);
+    return RunServingDaemon(aPath);
   }
   auto settings = ParseSettings(text);
   if (!settings) {
-    std::cerr << Describe(settings.error());
+    std::cerr << FormatValidationErrors(settings.error());
     return kExitSettings;
   }
   static LogWriter sWriter(STDOUT_FILENO);
--- a/src/edge/EngineAccess.cpp
+++ b/src/edge/EngineClient.cpp
@@ -1,4 +1,4 @@
-#include "EngineAccess.h"
+#include "EngineClient.h"
 
 #include "Json.h"
 #include "Worker.h"
@@ -21,12 +21,13 @@
   EngineError error;
   error.message = aError.message;
   if (aError.phase == CallPhase::eConnect) {
-    error.fault = EngineFault::eUnreachable;
+    error.kind = EngineErrorKind::eUnreachable;
   } else if (aError.code == ErrorCode::eTimeout) {
-    error.fault = EngineFault::eSilent;
+    error.kind = EngineErrorKind::eTimedOut;
   } else {
-    error.fault = aError.code == ErrorCode::eProtocol ? EngineFault::eGarbled
-                                                      : EngineFault::eCut;
+    error.kind = aError.code == ErrorCode::eProtocol
+                   ? EngineErrorKind::eMalformedEvent
+                   : EngineErrorKind::eDisconnected;
   }
   return error;
 }
@@ -72,12 +73,12 @@
     if (const auto line = this->TakeLine()) {
       auto event = ParseEvent(*line);
       if (!event) {
-        co_return tl::unexpected<EngineError>(
-          EngineError{ EngineFault::eGarbled, "not an event: " + *line });
+        co_return tl::unexpected<EngineError>(EngineError{
+          EngineErrorKind::eMalformedEvent, "not an event: " + *line });
       }
       co_return event;
     }
-    auto piece = co_await this->exchange.ReadPiece();
+    auto piece = co_await this->exchange.ReadChunk();
     if (!piece) {
       co_return tl::unexpected<EngineError>(ErrorOf(piece.error()));
     }
@@ -91,13 +92,13 @@
 Task<tl::expected<EngineStream, EngineError>>
 OpenEngineStream(Worker& aWorker,
                  std::string aAddress,
-                 EngineCall aCall,
+                 GenerationRequest aCall,
                  CallTimeouts aTimeouts)
 {
   const auto endpoint = ParseEndpoint(aAddress);
   if (!endpoint) {
     co_return tl::unexpected<EngineError>(
-      EngineError{ EngineFault::eUnreachable, endpoint.error().message });
+      EngineError{ EngineErrorKind::eUnreachable, endpoint.error().message });
   }
   const json::object body{
     { "attempt", aCall.attempt.value },  { "prompt", aCall.prompt },
@@ -110,7 +111,7 @@
     aWorker, *endpoint, std::move(request), aTimeouts);
   if (!opened) {
     if (opened.error().code == ErrorCode::eTimeout) {
-      aWorker.pool.Drop(*endpoint);
+      aWorker.connectionPool.CloseIdle(*endpoint);
     }
     co_return tl::unexpected<EngineError>(ErrorOf(opened.error()));
   }
@@ -120,9 +121,9 @@
   }
   const bool refused =
     status == kServiceUnavailable || status == kTooManyRequests;
-  co_return tl::unexpected<EngineError>(
-    EngineError{ refused ? EngineFault::eRefused : EngineFault::eFailed,
-                 "engine answered " + std::to_string(status) });
+  co_return tl::unexpected<EngineError>(EngineError{
+    refused ? EngineErrorKind::eRejected : EngineErrorKind::eErrorStatus,
+    "engine answered " + std::to_string(status) });
 }
 
 Task<void>
@@ -141,11 +142,11 @@
 }
 
 Task<bool>
-TransferEngineState(Worker& aWorker,
-                    std::string aFrom,
-                    std::string aTo,
-                    AttemptId aAttempt,
-                    std::uint64_t aTokens)
+TransferKvCache(Worker& aWorker,
+                std::string aFrom,
+                std::string aTo,
+                AttemptId aAttempt,
+                std::uint64_t aTokens)
 {
   const auto from = ParseEndpoint(aFrom);
   const auto to = ParseEndpoint(aTo);
@@ -172,9 +173,9 @@
 }
 
 Task<Result<EngineReport>>
-AskEngineReport(Worker& aWorker,
-                EngineReport aKnown,
-                std::chrono::milliseconds aTimeout)
+FetchEngineReport(Worker& aWorker,
+                  EngineReport aKnown,
+                  std::chrono::milliseconds aTimeout)
 {
   const auto endpoint = ParseEndpoint(aKnown.address);
   if (!endpoint) {
--- a/src/edge/EngineAccess.h
+++ b/src/edge/EngineClient.h
@@ -14,7 +14,7 @@
 namespace toucanshed {
 
 /** What an engine is asked to generate. */
-struct EngineCall
+struct GenerationRequest
 {
   AttemptId attempt;
   std::string prompt;
@@ -34,19 +34,19 @@
 };
 
 /** How an attempt to use an engine failed. */
-enum class EngineFault
+enum class EngineErrorKind
 {
-  eUnreachable, // no connection: nothing was sent
-  eRefused,     // it says that it did not run the request
-  eFailed,      // it answered with an error
-  eSilent,      // no progress in the time allowed
-  eCut,         // the connection ended before the answer
-  eGarbled,     // it said something that is no event
+  eUnreachable,    // no connection: nothing was sent
+  eRejected,       // it says that it did not run the request
+  eErrorStatus,    // it answered with an error
+  eTimedOut,       // no progress in the time allowed
+  eDisconnected,   // the connection ended before the answer
+  eMalformedEvent, // it said something that is no event
 };
 
 struct EngineError
 {
-  EngineFault fault = EngineFault::eUnreachable;
+  EngineErrorKind kind = EngineErrorKind::eUnreachable;
   std::string message;
 };
 
@@ -70,7 +70,7 @@
 Task<tl::expected<EngineStream, EngineError>>
 OpenEngineStream(Worker& aWorker,
                  std::string aAddress,
-                 EngineCall aCall,
+                 GenerationRequest aCall,
                  CallTimeouts aTimeouts);
 
 /** Tells an engine that nobody waits for an attempt any more; on a connection
@@ -83,17 +83,17 @@
  * \return whether the second holds it now; if not, it computes the prompt and
  *   the tokens so far again. */
 Task<bool>
-TransferEngineState(Worker& aWorker,
-                    std::string aFrom,
-                    std::string aTo,
-                    AttemptId aAttempt,
-                    std::uint64_t aTokens);
+TransferKvCache(Worker& aWorker,
+                std::string aFrom,
+                std::string aTo,
+                AttemptId aAttempt,
+                std::uint64_t aTokens);
 
 /** Fills in what the back end at aKnown.address says of itself. A plain
  * service says little; what it leaves out stays as given. */
 Task<Result<EngineReport>>
-AskEngineReport(Worker& aWorker,
-                EngineReport aKnown,
-                std::chrono::milliseconds aTimeout);
+FetchEngineReport(Worker& aWorker,
+                  EngineReport aKnown,
+                  std::chrono::milliseconds aTimeout);
 
 } // namespace toucanshed
--- /dev/null
+++ b/src/edge/HttpConnectionPool.cpp
@@ -0,0 +1,98 @@
+#include "HttpConnectionPool.h"
+
+#include <algorithm>
+#include <cerrno>
+#include <sys/socket.h>
+
+namespace toucanshed {
+
+namespace {
+
+/** Whether nothing has arrived on an idle connection. Bytes there belong to no
+ * request (an answer that came twice, or late), and the end of the stream says
+ * that the peer has closed it. */
+bool
+IsOpenAndIdle(HttpConnection& aConnection)
+{
+  char byte = 0;
+  const ssize_t got = ::recv(aConnection.stream.socket().native_handle(),
+                             &byte,
+                             1,
+                             MSG_PEEK | MSG_DONTWAIT);
+  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
+} // namespace
+
+bool
+HttpConnectionPool::IsReusable(const IdleConnection& aIdle,
+                               std::chrono::steady_clock::time_point aNow)
+{
+  std::chrono::duration<double> most = kMaxIdleTime;
+  const std::chrono::duration<double> said = aIdle.connection->keepAliveTimeout;
+  if (said.count() > 0) {
+    most = std::min(most, said * kKeepAliveFraction);
+  }
+  return aNow - aIdle.idleSince < most && IsOpenAndIdle(*aIdle.connection);
+}
+
+std::unique_ptr<HttpConnection>
+HttpConnectionPool::Acquire(const Endpoint& aEndpoint)
+{
+  auto& list = this->idleConnections[aEndpoint];
+  const auto now = std::chrono::steady_clock::now();
+  while (!list.empty()) {
+    IdleConnection last = std::move(list.back());
+    list.pop_back();
+    if (IsReusable(last, now)) {
+      last.connection->reused = true;
+      return std::move(last.connection);
+    }
+  }
+  return nullptr;
+}
+
+std::unique_ptr<HttpConnection>
+HttpConnectionPool::Create(const Endpoint& aEndpoint)
+{
+  return std::make_unique<HttpConnection>(
+    HttpConnection{ boost::beast::tcp_stream(this->context),
+                    {},
+                    aEndpoint,
+                    std::chrono::steady_clock::now() });
+}
+
+void
+HttpConnectionPool::RemoveExpired(std::chrono::steady_clock::time_point aNow)
+{
+  if (aNow - this->lastCleanup < kMaxIdleTime) {
+    return;
+  }
+  this->lastCleanup = aNow;
+  for (auto& [endpoint, list] : this->idleConnections) {
+    std::erase_if(list, [&](const IdleConnection& aIdle) {
+      return aNow - aIdle.idleSince >= kMaxIdleTime;
+    });
+  }
+  std::erase_if(this->idleConnections,
+                [](const auto& aEntry) { return aEntry.second.empty(); });
+}
+
+void
+HttpConnectionPool::Release(std::unique_ptr<HttpConnection> aConnection)
+{
+  this->RemoveExpired(std::chrono::steady_clock::now());
+  auto& list = this->idleConnections[aConnection->endpoint];
+  if (list.size() < kMaxIdlePerEndpoint) {
+    list.push_back(IdleConnection{ std::move(aConnection),
+                                   std::chrono::steady_clock::now() });
+  }
+}
+
+void
+HttpConnectionPool::CloseIdle(const Endpoint& aEndpoint)
+{
+  this->idleConnections.erase(aEndpoint);
+}
+
+} // namespace toucanshed
--- a/src/edge/HttpExchange.cpp
+++ b/src/edge/HttpExchange.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 /** Answers larger than this are refused as a protocol error. */
-constexpr std::uint64_t kMostAnswerBytes = 64ULL << 20U;
+constexpr std::uint64_t kMaxResponseBytes = 64ULL << 20U;
 
 ErrorCode
-CodeOf(const boost::system::error_code& aError)
+ErrorCodeOf(const boost::system::error_code& aError)
 {
   if (aError == boost::beast::error::timeout) {
     return ErrorCode::eTimeout;
@@ -37,7 +37,7 @@
  * path that has lost track of the connection, answers nothing at all, not even
  * a reset; without this the bytes wait for many minutes in the kernel. */
 void
-LimitUnacknowledged(boost::asio::ip::tcp::socket& aSocket)
+SetTcpUserTimeout(boost::asio::ip::tcp::socket& aSocket)
 {
   constexpr int kMostUnacknowledgedMs = 3000; // as long as callers wait for one
   using UserTimeout =
@@ -48,7 +48,7 @@
 
 /** Seconds that the peer says it keeps an idle connection; 0 if it does not. */
 std::chrono::seconds
-KeepAliveOf(const http::fields& aFields)
+ParseKeepAliveTimeout(const http::fields& aFields)
 {
   constexpr std::string_view kName = "timeout=";
   const std::string_view text = aFields[http::field::keep_alive];
@@ -65,45 +65,46 @@
 } // namespace
 
 void
-CallAbort::Abort()
+AbortHandle::Abort()
 {
   this->aborted = true;
-  if (this->live != nullptr) {
-    this->live->stream.close();
+  if (this->activeConnection != nullptr) {
+    this->activeConnection->stream.close();
   }
 }
 
 HttpExchange::~HttpExchange()
 {
-  if (this->abort != nullptr) {
-    this->abort->live = nullptr;
+  if (this->abortHandle != nullptr) {
+    this->abortHandle->activeConnection = nullptr;
   }
 }
 
 void
-HttpExchange::Expose()
+HttpExchange::UpdateAbortHandle()
 {
-  if (this->abort != nullptr) {
-    this->abort->live = this->connection.get();
+  if (this->abortHandle != nullptr) {
+    this->abortHandle->activeConnection = this->connection.get();
   }
 }
 
 void
-HttpExchange::Drop()
+HttpExchange::CloseConnection()
 {
   this->connection.reset();
-  this->Expose();
+  this->UpdateAbortHandle();
 }
 
 CallError
-HttpExchange::Failed(CallPhase aPhase, const boost::system::error_code& aError)
+HttpExchange::FailCall(CallPhase aPhase,
+                       const boost::system::error_code& aError)
 {
   CallError error;
   error.phase = aPhase;
-  error.code = CodeOf(aError);
+  error.code = ErrorCodeOf(aError);
   error.message = aError.message();
   error.reused = this->connection->reused;
-  this->Drop();
+  this->CloseConnection();
   return error;
 }
 
@@ -116,11 +117,11 @@
   co_await stream.async_connect(this->connection->endpoint,
                                 net::redirect_error(net::use_awaitable, error));
   if (error) {
-    co_return this->Failed(CallPhase::eConnect, error);
+    co_return this->FailCall(CallPhase::eConnect, error);
   }
   boost::system::error_code ignored;
   stream.socket().set_option(net::ip::tcp::no_delay(true), ignored);
-  LimitUnacknowledged(stream.socket());
+  SetTcpUserTimeout(stream.socket());
   co_return std::nullopt;
 }
 
@@ -133,17 +134,17 @@
   co_await http::async_write(
     open.stream, aRequest, net::redirect_error(net::use_awaitable, error));
   if (error) {
-    co_return this->Failed(CallPhase::eSend, error);
+    co_return this->FailCall(CallPhase::eSend, error);
   }
   this->parser = std::make_unique<Parser>();
-  this->parser->body_limit(kMostAnswerBytes);
+  this->parser->body_limit(kMaxResponseBytes);
   co_await http::async_read_header(
     open.stream,
     open.buffer,
     *this->parser,
     net::redirect_error(net::use_awaitable, error));
   if (error) {
-    co_return this->Failed(CallPhase::eHead, error);
+    co_return this->FailCall(CallPhase::eHead, error);
   }
   co_return std::nullopt;
 }
@@ -154,29 +155,29 @@
                    HttpRequest aRequest,
                    CallTimeouts aTimeouts,
                    bool aFresh,
-                   std::shared_ptr<CallAbort> aAbort,
-                   MaySend aMaySend)
+                   std::shared_ptr<AbortHandle> aAbort,
+                   PreSendCheck aMaySend)
 {
   HttpExchange exchange;
   exchange.worker = &aWorker;
   exchange.timeouts = aTimeouts;
-  exchange.abort = std::move(aAbort);
+  exchange.abortHandle = std::move(aAbort);
   if (!aFresh) {
-    exchange.connection = aWorker.pool.Take(aEndpoint);
+    exchange.connection = aWorker.connectionPool.Acquire(aEndpoint);
   }
   if (!exchange.connection) {
-    exchange.connection = aWorker.pool.Make(aEndpoint);
-    exchange.Expose();
+    exchange.connection = aWorker.connectionPool.Create(aEndpoint);
+    exchange.UpdateAbortHandle();
     const auto refused = co_await exchange.Connect();
     if (refused) {
       co_return tl::unexpected<CallError>(*refused);
     }
   }
-  exchange.Expose();
+  exchange.UpdateAbortHandle();
   const bool wanted = !aMaySend || aMaySend();
   if (exchange.Aborted() || !wanted) {
     co_return tl::unexpected<CallError>(
-      exchange.Failed(CallPhase::eConnect, net::error::operation_aborted));
+      exchange.FailCall(CallPhase::eConnect, net::error::operation_aborted));
   }
   if (aRequest.find(http::field::host) == aRequest.end()) {
     aRequest.set(http::field::host, ToText(aEndpoint));
@@ -201,13 +202,13 @@
 }
 
 Task<CallResult<std::optional<std::string>>>
-HttpExchange::ReadPiece()
+HttpExchange::ReadChunk()
 {
   std::string& body = this->parser->get().body();
   while (body.empty() && !this->parser->is_done()) {
     boost::system::error_code error;
     HttpConnection& open = *this->connection;
-    open.stream.expires_after(this->timeouts.gap);
+    open.stream.expires_after(this->timeouts.bodyIdle);
     co_await http::async_read_some(
       open.stream,
       open.buffer,
@@ -215,7 +216,7 @@
       net::redirect_error(net::use_awaitable, error));
     if (error) {
       co_return tl::unexpected<CallError>(
-        this->Failed(CallPhase::eBody, error));
+        this->FailCall(CallPhase::eBody, error));
     }
   }
   if (!body.empty()) {
@@ -228,22 +229,22 @@
                         this->connection->buffer.size() == 0;
   if (reusable && !this->Aborted()) {
     this->connection->stream.expires_never();
-    this->connection->keepAlive = KeepAliveOf(this->Headers());
-    this->worker->pool.Give(std::move(this->connection));
+    this->connection->keepAliveTimeout = ParseKeepAliveTimeout(this->Headers());
+    this->worker->connectionPool.Release(std::move(this->connection));
   }
-  this->Drop();
+  this->CloseConnection();
   co_return std::optional<std::string>{};
 }
 
 namespace {
 
-Task<CallResult<HttpReply>>
+Task<CallResult<HttpResponse>>
 FetchOnce(Worker& aWorker,
           Endpoint aEndpoint,
           HttpRequest aRequest,
           CallTimeouts aTimeouts,
           bool aFresh,
-          MaySend aMaySend)
+          PreSendCheck aMaySend)
 {
   auto opened = co_await HttpExchange::Open(aWorker,
                                             aEndpoint,
@@ -255,11 +256,11 @@
   if (!opened) {
     co_return tl::unexpected<CallError>(opened.error());
   }
-  HttpReply reply;
+  HttpResponse reply;
   static_cast<http::fields&>(reply.base()) = opened->Headers();
   reply.result(opened->Status());
   while (true) {
-    auto piece = co_await opened->ReadPiece();
+    auto piece = co_await opened->ReadChunk();
     if (!piece) {
       co_return tl::unexpected<CallError>(piece.error());
     }
@@ -272,13 +273,13 @@
 
 } // namespace
 
-Task<CallResult<HttpReply>>
+Task<CallResult<HttpResponse>>
 Fetch(Worker& aWorker,
       Endpoint aEndpoint,
       HttpRequest aRequest,
       CallTimeouts aTimeouts,
       bool aFresh,
-      MaySend aMaySend)
+      PreSendCheck aMaySend)
 {
   auto first = co_await FetchOnce(
     aWorker, aEndpoint, aRequest, aTimeouts, aFresh, aMaySend);
@@ -287,7 +288,7 @@
   if (!stale) {
     co_return first;
   }
-  aWorker.pool.Drop(aEndpoint);
+  aWorker.connectionPool.CloseIdle(aEndpoint);
   auto second = co_await FetchOnce(
     aWorker, aEndpoint, std::move(aRequest), aTimeouts, true, aMaySend);
   co_return second;
--- a/src/edge/HttpExchange.h
+++ b/src/edge/HttpExchange.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "HttpPool.h"
+#include "HttpConnectionPool.h"
 #include "HttpTypes.h"
 #include "Task.h"
 
@@ -44,7 +44,7 @@
  *
  * Thread safety: none; belongs to the worker of the call.
  */
-class CallAbort
+class AbortHandle
 {
 public:
   /** Closes the call's connection, now or as soon as it has one. */
@@ -55,19 +55,19 @@
   friend class HttpExchange;
 
   bool aborted = false;
-  HttpConnection* live = nullptr;
+  HttpConnection* activeConnection = nullptr;
 };
 
 /** Asked right before a request's first byte is sent; false ends the call with
  * nothing sent. */
-using MaySend = std::function<bool()>;
+using PreSendCheck = std::function<bool()>;
 
 /** How long each phase may go without progress. */
 struct CallTimeouts
 {
   std::chrono::milliseconds connect{ 500 };
   std::chrono::milliseconds head{ 5000 };
-  std::chrono::milliseconds gap{ 5000 };
+  std::chrono::milliseconds bodyIdle{ 5000 };
 };
 
 /**
@@ -94,41 +94,44 @@
     HttpRequest aRequest,
     CallTimeouts aTimeouts,
     bool aFresh = false,
-    std::shared_ptr<CallAbort> aAbort = nullptr,
-    MaySend aMaySend = nullptr);
+    std::shared_ptr<AbortHandle> aAbort = nullptr,
+    PreSendCheck aMaySend = nullptr);
   HttpExchange(HttpExchange&&) noexcept = default;
   HttpExchange& operator=(HttpExchange&&) noexcept = default;
   ~HttpExchange();
 
   /** Time without progress that is allowed from here on. */
-  void SetGap(std::chrono::milliseconds aGap) { this->timeouts.gap = aGap; }
+  void SetBodyIdleTimeout(std::chrono::milliseconds aGap)
+  {
+    this->timeouts.bodyIdle = aGap;
+  }
   /** Closes the connection; the rest of the answer is not wanted. */
-  void Drop();
+  void CloseConnection();
 
   [[nodiscard]] unsigned Status() const;
   [[nodiscard]] const http::fields& Headers() const;
 
   /** The next piece of the body; nothing when the body is complete. */
-  Task<CallResult<std::optional<std::string>>> ReadPiece();
+  Task<CallResult<std::optional<std::string>>> ReadChunk();
 
 private:
   using Parser = http::response_parser<http::string_body>;
 
   HttpExchange() = default;
   /** Points the abort handle at the connection, or at none. */
-  void Expose();
+  void UpdateAbortHandle();
   [[nodiscard]] bool Aborted() const
   {
-    return this->abort != nullptr && this->abort->Aborted();
+    return this->abortHandle != nullptr && this->abortHandle->Aborted();
   }
 
   Task<std::optional<CallError>> Connect();
   Task<std::optional<CallError>> SendAndReadHead(HttpRequest& aRequest);
-  CallError Failed(CallPhase aPhase, const boost::system::error_code& aError);
+  CallError FailCall(CallPhase aPhase, const boost::system::error_code& aError);
 
   Worker* worker = nullptr;
   CallTimeouts timeouts;
-  std::shared_ptr<CallAbort> abort;
+  std::shared_ptr<AbortHandle> abortHandle;
   std::unique_ptr<HttpConnection> connection;
   std::unique_ptr<Parser> parser;
 };
@@ -136,12 +139,12 @@
 /** Sends a request and reads the whole answer. A call that fails on a reused
  * connection before any answer is sent once more on a new one; pass aFresh for
  * calls that may not be repeated. */
-Task<CallResult<HttpReply>>
+Task<CallResult<HttpResponse>>
 Fetch(Worker& aWorker,
       Endpoint aEndpoint,
       HttpRequest aRequest,
       CallTimeouts aTimeouts,
       bool aFresh = false,
-      MaySend aMaySend = nullptr);
+      PreSendCheck aMaySend = nullptr);
 
 } // namespace toucanshed
--- a/src/edge/HttpResponder.cpp
+++ b/src/edge/HttpResponder.cpp
@@ -22,36 +22,38 @@
 
 HttpResponder::~HttpResponder()
 {
-  if (this->watch != nullptr) {
-    this->watch->onGone = nullptr;
+  if (this->disconnectWatch != nullptr) {
+    this->disconnectWatch->onDisconnect = nullptr;
   }
 }
 
 void
-HttpResponder::WatchReceiver(std::function<void()> aOnGone)
+HttpResponder::NotifyOnDisconnect(std::function<void()> aOnGone)
 {
-  this->watch = std::make_shared<Watch>();
-  this->watch->onGone = std::move(aOnGone);
+  this->disconnectWatch = std::make_shared<DisconnectWatch>();
+  this->disconnectWatch->onDisconnect = std::move(aOnGone);
   auto& socket = this->stream.socket();
-  socket.async_wait(
-    net::ip::tcp::socket::wait_read,
-    [watch = this->watch, &socket](const boost::system::error_code& aError) {
-      if (!watch->onGone) {
-        return; // answered; the socket may be gone
-      }
-      char byte = 0;
-      const ssize_t got =
-        aError ? 0 : ::recv(socket.native_handle(), &byte, 1, MSG_PEEK);
-      if (got <= 0) {
-        watch->onGone();
-      }
-    });
+  socket.async_wait(net::ip::tcp::socket::wait_read,
+                    [watch = this->disconnectWatch,
+                     &socket](const boost::system::error_code& aError) {
+                      if (!watch->onDisconnect) {
+                        return; // answered; the socket may be gone
+                      }
+                      char byte = 0;
+                      const ssize_t got =
+                        aError
+                          ? 0
+                          : ::recv(socket.native_handle(), &byte, 1, MSG_PEEK);
+                      if (got <= 0) {
+                        watch->onDisconnect();
+                      }
+                    });
 }
 
 Task<bool>
 HttpResponder::WriteRaw(std::string aText)
 {
-  if (this->broken) {
+  if (this->writeFailed) {
     co_return false;
   }
   boost::system::error_code error;
@@ -59,12 +61,12 @@
   co_await net::async_write(this->stream,
                             net::buffer(aText),
                             net::redirect_error(net::use_awaitable, error));
-  this->broken = static_cast<bool>(error);
-  co_return !this->broken;
+  this->writeFailed = static_cast<bool>(error);
+  co_return !this->writeFailed;
 }
 
 Task<bool>
-HttpResponder::Send(HttpReply aReply)
+HttpResponder::Send(HttpResponse aReply)
 {
   Invariant(!this->started, "an answer is sent once");
   this->started = true;
@@ -75,12 +77,12 @@
   this->stream.expires_after(kWriteTimeout);
   co_await http::async_write(
     this->stream, aReply, net::redirect_error(net::use_awaitable, error));
-  this->broken = static_cast<bool>(error);
-  co_return !this->broken;
+  this->writeFailed = static_cast<bool>(error);
+  co_return !this->writeFailed;
 }
 
 Task<bool>
-HttpResponder::Begin(HttpReply aHead)
+HttpResponder::Begin(HttpResponse aHead)
 {
   Invariant(!this->started, "an answer is sent once");
   this->started = true;
@@ -97,7 +99,7 @@
 {
   Invariant(this->started && !this->ended, "pieces follow a begun answer");
   if (aPiece.empty()) {
-    co_return !this->broken;
+    co_return !this->writeFailed;
   }
   std::array<char, 20> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", aPiece.size());
