--- a/src/edge/HttpResponder.h
+++ b/src/edge/HttpResponder.h
@@ -29,11 +29,11 @@
   HttpResponder& operator=(const HttpResponder&) = delete;
 
   /** Sends a whole answer. Precondition: nothing was sent before. */
-  Task<bool> Send(HttpReply aReply);
+  Task<bool> Send(HttpResponse aReply);
 
   /** Sends the head of an answer whose body follows in pieces; aHead's body is
    * ignored. Precondition: nothing was sent before. */
-  Task<bool> Begin(HttpReply aHead);
+  Task<bool> Begin(HttpResponse aHead);
   /** Precondition: Begin was called and End was not. */
   Task<bool> Write(std::string aPiece);
   /** Ends the body. An answer that is not ended is seen as cut short.
@@ -44,32 +44,32 @@
   /** Calls aOnGone once if the receiver hangs up before the answer has ended,
    * so that work done for it can be stopped. Precondition: called once, before
    * anything is sent; aOnGone may be called until this object is gone. */
-  void WatchReceiver(std::function<void()> aOnGone);
+  void NotifyOnDisconnect(std::function<void()> aOnGone);
   /** The connection carries no request after this one. */
-  void CloseAfter() { this->keepAlive = false; }
+  void DisableKeepAlive() { this->keepAlive = false; }
 
   [[nodiscard]] bool Started() const { return this->started; }
   /** Whether the connection may carry another request. */
-  [[nodiscard]] bool Reusable() const
+  [[nodiscard]] bool IsConnectionReusable() const
   {
-    return this->keepAlive && this->ended && !this->broken;
+    return this->keepAlive && this->ended && !this->writeFailed;
   }
 
 private:
   /** What outlives the responder while the socket is still being watched. */
-  struct Watch
+  struct DisconnectWatch
   {
-    std::function<void()> onGone;
+    std::function<void()> onDisconnect;
   };
 
   Task<bool> WriteRaw(std::string aText);
 
   boost::beast::tcp_stream& stream;
   bool keepAlive;
-  std::shared_ptr<Watch> watch;
+  std::shared_ptr<DisconnectWatch> disconnectWatch;
   bool started = false;
   bool ended = false;
-  bool broken = false;
+  bool writeFailed = false;
 };
 
 } // namespace toucanshed
--- a/src/edge/HttpServer.cpp
+++ b/src/edge/HttpServer.cpp
@@ -15,44 +15,45 @@
 
 namespace {
 
-struct Counted
+struct ScopedCount
 {
   std::shared_ptr<std::atomic<std::size_t>> count;
 
-  explicit Counted(std::shared_ptr<std::atomic<std::size_t>> aCount)
+  explicit ScopedCount(std::shared_ptr<std::atomic<std::size_t>> aCount)
     : count(std::move(aCount))
   {
     ++*this->count;
   }
-  ~Counted() { --*this->count; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  ~ScopedCount() { --*this->count; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 };
 
 /** Ends a read after a time without closing the connection, as the stream's
  * own limit would: a sender that is too slow is still to be told so. */
-class ReadLimit
+class ReadTimeout
 {
 public:
-  ReadLimit(boost::beast::tcp_stream& aStream, std::chrono::milliseconds aTime)
+  ReadTimeout(boost::beast::tcp_stream& aStream,
+              std::chrono::milliseconds aTime)
     : timer(aStream.get_executor())
-    , passed(std::make_shared<bool>(false))
+    , timedOut(std::make_shared<bool>(false))
   {
     this->timer.expires_after(aTime);
-    this->timer.async_wait(
-      [flag = this->passed, &aStream](const boost::system::error_code& aError) {
-        if (!aError) {
-          *flag = true;
-          aStream.socket().cancel();
-        }
-      });
+    this->timer.async_wait([flag = this->timedOut,
+                            &aStream](const boost::system::error_code& aError) {
+      if (!aError) {
+        *flag = true;
+        aStream.socket().cancel();
+      }
+    });
   }
 
-  [[nodiscard]] bool Passed() const { return *this->passed; }
+  [[nodiscard]] bool HasTimedOut() const { return *this->timedOut; }
 
 private:
   net::steady_timer timer; // its destruction cancels the wait
-  std::shared_ptr<bool> passed;
+  std::shared_ptr<bool> timedOut;
 };
 
 unsigned
@@ -72,7 +73,7 @@
 
 /** Nothing more can be said to a peer that has hung up or sent nothing. */
 bool
-Silent(const boost::system::error_code& aError)
+IsPeerClosed(const boost::system::error_code& aError)
 {
   return aError == http::error::end_of_stream || aError == net::error::eof ||
          aError == net::error::connection_reset;
@@ -110,14 +111,15 @@
 }
 
 std::shared_ptr<HttpServer::IdleWait>
-HttpServer::BeginIdle(boost::beast::tcp_stream& aStream)
+HttpServer::RegisterIdleWait(boost::beast::tcp_stream& aStream)
 {
   auto wait = std::make_shared<IdleWait>();
   wait->stream = &aStream;
   wait->executor = aStream.get_executor();
   const std::lock_guard<std::mutex> lock(this->idleMutex);
-  std::erase_if(this->idle, [](const auto& aWait) { return aWait.expired(); });
-  this->idle.push_back(wait);
+  std::erase_if(this->idleWaits,
+                [](const auto& aWait) { return aWait.expired(); });
+  this->idleWaits.push_back(wait);
   return wait;
 }
 
@@ -127,7 +129,7 @@
   this->closing = true;
   {
     const std::lock_guard<std::mutex> lock(this->idleMutex);
-    for (const auto& entry : this->idle) {
+    for (const auto& entry : this->idleWaits) {
       const auto wait = entry.lock();
       if (wait == nullptr) {
         continue;
@@ -162,12 +164,12 @@
       co_await Sleep(std::chrono::milliseconds(20));
       continue;
     }
-    worker.Spawn(this->Serve(worker, std::move(socket)));
+    worker.Spawn(this->ServeConnection(worker, std::move(socket)));
   }
 }
 
 Task<void>
-HttpServer::Serve(Worker& aWorker, tcp::socket aSocket)
+HttpServer::ServeConnection(Worker& aWorker, tcp::socket aSocket)
 {
   boost::system::error_code ignored;
   aSocket.set_option(tcp::no_delay(true), ignored);
@@ -175,23 +177,23 @@
   boost::beast::flat_buffer buffer;
   bool more = true;
   while (more && !this->closing) {
-    more = co_await this->ServeOne(aWorker, stream, buffer);
+    more = co_await this->ServeRequest(aWorker, stream, buffer);
   }
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 Task<bool>
-HttpServer::ServeOne(Worker& aWorker,
-                     boost::beast::tcp_stream& aStream,
-                     boost::beast::flat_buffer& aBuffer)
+HttpServer::ServeRequest(Worker& aWorker,
+                         boost::beast::tcp_stream& aStream,
+                         boost::beast::flat_buffer& aBuffer)
 {
   boost::system::error_code error;
   http::request_parser<http::string_body> parser;
-  parser.header_limit(this->limits.headBytes);
-  parser.body_limit(this->limits.bodyBytes);
+  parser.header_limit(this->limits.maxHeaderBytes);
+  parser.body_limit(this->limits.maxBodyBytes);
   if (aBuffer.size() == 0) {
-    aStream.expires_after(this->limits.idle);
-    const auto waiting = this->BeginIdle(aStream);
+    aStream.expires_after(this->limits.idleTimeout);
+    const auto waiting = this->RegisterIdleWait(aStream);
     const std::size_t first = co_await aStream.async_read_some(
       aBuffer.prepare(4096), net::redirect_error(net::use_awaitable, error));
     waiting->stream = nullptr;
@@ -202,38 +204,38 @@
   }
   aStream.expires_never();
   {
-    const ReadLimit limit(aStream, this->limits.arrival);
+    const ReadTimeout limit(aStream, this->limits.requestTimeout);
     co_await http::async_read(
       aStream, aBuffer, parser, net::redirect_error(net::use_awaitable, error));
-    if (limit.Passed()) {
+    if (limit.HasTimedOut()) {
       error = boost::beast::error::timeout;
     }
   }
   if (error) {
-    if (!Silent(error)) {
-      co_await RefuseBadInput(aStream, error);
+    if (!IsPeerClosed(error)) {
+      co_await RejectBadInput(aStream, error);
     }
     co_return false;
   }
   aStream.expires_never();
-  const Counted counted(this->inProgress);
+  const ScopedCount counted(this->inProgress);
   const HttpRequest request = parser.release();
-  const bool last = this->closing || this->announced;
+  const bool last = this->closing || this->closeAnnounced;
   HttpResponder responder(aStream, request.keep_alive() && !last);
   co_await this->handler(aWorker, request, responder);
-  co_return responder.Reusable();
+  co_return responder.IsConnectionReusable();
 }
 
 Task<void>
-HttpServer::RefuseBadInput(boost::beast::tcp_stream& aStream,
+HttpServer::RejectBadInput(boost::beast::tcp_stream& aStream,
                            boost::system::error_code aError)
 {
   HttpResponder responder(aStream, false);
   const std::string body = R"({"error":{"type":"bad_request","message":")" +
                            aError.message() + "\"}}\n";
-  HttpReply reply = MakeReply(StatusOf(aError), body);
+  HttpResponse reply = MakeResponse(StatusOf(aError), body);
   reply.set("Toucanshed-Outcome", "not-run");
-  this->limits.onRefusal(reply);
+  this->limits.onRejection(reply);
   co_await responder.Send(std::move(reply));
 }
 
--- a/src/edge/HttpServer.h
+++ b/src/edge/HttpServer.h
@@ -20,13 +20,13 @@
 /** What a peer may send before it is refused. */
 struct HttpLimits
 {
-  std::uint32_t headBytes = 16384;
-  std::uint64_t bodyBytes = 1U << 20U;
+  std::uint32_t maxHeaderBytes = 16384;
+  std::uint64_t maxBodyBytes = 1U << 20U;
   /** Time for a request to arrive whole once its first byte is there. */
-  std::chrono::milliseconds arrival{ 10000 };
-  std::chrono::milliseconds idle{ 60000 };
+  std::chrono::milliseconds requestTimeout{ 10000 };
+  std::chrono::milliseconds idleTimeout{ 60000 };
   /** Completes the refusals that are made before a handler is asked. */
-  std::function<void(HttpReply&)> onRefusal = [](HttpReply&) {};
+  std::function<void(HttpResponse&)> onRejection = [](HttpResponse&) {};
 };
 
 /** Answers one request through the responder. */
@@ -49,7 +49,7 @@
   Result<void> Listen(const Endpoint& aEndpoint);
   /** From now on each answer says that its connection closes after it, while
    * new connections are still accepted: the balancer sends some for a while. */
-  void AnnounceClose() { this->announced = true; }
+  void AnnounceClose() { this->closeAnnounced = true; }
   /** Bounds for requests that arrive from now on. Precondition: called on the
    * worker that accepts. */
   void SetLimits(HttpLimits aLimits) { this->limits = std::move(aLimits); }
@@ -68,13 +68,14 @@
     boost::asio::any_io_executor executor;
   };
 
-  std::shared_ptr<IdleWait> BeginIdle(boost::beast::tcp_stream& aStream);
+  std::shared_ptr<IdleWait> RegisterIdleWait(boost::beast::tcp_stream& aStream);
   Task<void> Accept();
-  Task<void> Serve(Worker& aWorker, boost::asio::ip::tcp::socket aSocket);
-  Task<bool> ServeOne(Worker& aWorker,
-                      boost::beast::tcp_stream& aStream,
-                      boost::beast::flat_buffer& aBuffer);
-  Task<void> RefuseBadInput(boost::beast::tcp_stream& aStream,
+  Task<void> ServeConnection(Worker& aWorker,
+                             boost::asio::ip::tcp::socket aSocket);
+  Task<bool> ServeRequest(Worker& aWorker,
+                          boost::beast::tcp_stream& aStream,
+                          boost::beast::flat_buffer& aBuffer);
+  Task<void> RejectBadInput(boost::beast::tcp_stream& aStream,
                             boost::system::error_code aError);
 
   WorkerPool& pool;
@@ -86,9 +87,9 @@
   std::shared_ptr<std::atomic<std::size_t>> inProgress =
     std::make_shared<std::atomic<std::size_t>>(0);
   std::mutex idleMutex; // guards idle, not what it points to
-  std::list<std::weak_ptr<IdleWait>> idle;
+  std::list<std::weak_ptr<IdleWait>> idleWaits;
   std::atomic<bool> closing{ false };
-  std::atomic<bool> announced{ false };
+  std::atomic<bool> closeAnnounced{ false };
 };
 
 } // namespace toucanshed
--- a/src/edge/HttpTypes.cpp
+++ b/src/edge/HttpTypes.cpp
@@ -21,10 +21,10 @@
   return request;
 }
 
-HttpReply
-MakeReply(unsigned aStatus, std::string aBody, std::string_view aContentType)
+HttpResponse
+MakeResponse(unsigned aStatus, std::string aBody, std::string_view aContentType)
 {
-  HttpReply reply{ http::int_to_status(aStatus), kHttp11 };
+  HttpResponse reply{ http::int_to_status(aStatus), kHttp11 };
   reply.result(aStatus);
   reply.set(http::field::content_type, aContentType);
   reply.body() = std::move(aBody);
@@ -39,7 +39,7 @@
 }
 
 std::string
-QueryOf(std::string_view aTarget, std::string_view aName)
+QueryParamOf(std::string_view aTarget, std::string_view aName)
 {
   const auto mark = aTarget.find('?');
   if (mark == std::string_view::npos) {
--- a/src/edge/HttpTypes.h
+++ b/src/edge/HttpTypes.h
@@ -14,7 +14,7 @@
 namespace http = boost::beast::http;
 
 using HttpRequest = http::request<http::string_body>;
-using HttpReply = http::response<http::string_body>;
+using HttpResponse = http::response<http::string_body>;
 
 /** A request for aTarget with a body, ready to send. */
 HttpRequest
@@ -24,10 +24,10 @@
             std::string_view aContentType = "application/json");
 
 /** A reply with a body, ready to send. */
-HttpReply
-MakeReply(unsigned aStatus,
-          std::string aBody,
-          std::string_view aContentType = "application/json");
+HttpResponse
+MakeResponse(unsigned aStatus,
+             std::string aBody,
+             std::string_view aContentType = "application/json");
 
 /** The field's value, empty when it is missing. */
 std::string
@@ -36,7 +36,7 @@
 /** The value of NAME in a target's query, empty when it is missing. Values
  * are taken as they stand; the ports that use queries need no escapes. */
 std::string
-QueryOf(std::string_view aTarget, std::string_view aName);
+QueryParamOf(std::string_view aTarget, std::string_view aName);
 
 /** The target without its query. */
 std::string_view
--- a/src/edge/InstanceAccess.cpp
+++ b/src/edge/InstanceList.cpp
@@ -1,4 +1,4 @@
-#include "InstanceAccess.h"
+#include "InstanceList.h"
 
 #include "HttpExchange.h"
 #include "Json.h"
@@ -11,7 +11,7 @@
 namespace {
 
 EngineReport
-BackendOf(const boost::json::object& aInstance)
+ParseBackend(const boost::json::object& aInstance)
 {
   EngineReport report;
   report.id = InstanceId{ StringOf(aInstance, "id") };
@@ -28,7 +28,7 @@
 } // namespace
 
 Task<Result<InstanceList>>
-ReadInstanceList(Worker& aWorker, Endpoint aEndpoint)
+FetchInstanceList(Worker& aWorker, Endpoint aEndpoint)
 {
   HttpRequest request = MakeRequest(http::verb::get, "/instances");
   CallTimeouts timeouts;
@@ -50,9 +50,9 @@
     }
     const std::string role = StringOf(entry.as_object(), "role");
     if (role == "backend") {
-      list.backends.push_back(BackendOf(entry.as_object()));
+      list.backends.push_back(ParseBackend(entry.as_object()));
     } else if (role == "entry") {
-      list.peers.push_back(StringOf(entry.as_object(), "peer_address"));
+      list.peerAddresses.push_back(StringOf(entry.as_object(), "peer_address"));
     }
   }
   co_return list;
--- a/src/edge/InstanceAccess.h
+++ b/src/edge/InstanceList.h
@@ -19,11 +19,11 @@
 struct InstanceList
 {
   std::vector<EngineReport> backends;
-  std::vector<std::string> peers; // peer ports of other daemons
+  std::vector<std::string> peerAddresses; // peer ports of other daemons
 };
 
 /** Reads the list once. */
 Task<Result<InstanceList>>
-ReadInstanceList(Worker& aWorker, Endpoint aEndpoint);
+FetchInstanceList(Worker& aWorker, Endpoint aEndpoint);
 
 } // namespace toucanshed
--- a/src/edge/LogAccess.cpp
+++ b/src/edge/LogClient.cpp
@@ -1,4 +1,4 @@
-#include "LogAccess.h"
+#include "LogClient.h"
 
 #include "HttpExchange.h"
 #include "Worker.h"
@@ -61,10 +61,10 @@
 
 } // namespace
 
-LogAccess
-MakeHttpLog(const Endpoint& aEndpoint)
+LogClient
+MakeHttpLogClient(const Endpoint& aEndpoint)
 {
-  LogAccess access;
+  LogClient access;
   access.append = [aEndpoint](Worker& aWorker,
                               std::string aStream,
                               std::string aPayload) {
--- a/src/edge/LogAccess.h
+++ b/src/edge/LogClient.h
@@ -23,7 +23,7 @@
  *
  * Thread safety: the hooks may be called on any worker.
  */
-struct LogAccess
+struct LogClient
 {
   /** Appends one payload. */
   std::function<Task<Result<void>>(Worker&, std::string, std::string)> append;
@@ -37,7 +37,7 @@
 };
 
 /** The log over HTTP with protobuf pages. */
-LogAccess
-MakeHttpLog(const Endpoint& aEndpoint);
+LogClient
+MakeHttpLogClient(const Endpoint& aEndpoint);
 
 } // namespace toucanshed
--- a/src/edge/Metrics.cpp
+++ b/src/edge/Metrics.cpp
@@ -35,23 +35,23 @@
 }
 
 void
-Metrics::FirstToken(double aMilliseconds)
+Metrics::RecordFirstToken(double aMilliseconds)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->firstToken(aMilliseconds);
 }
 
 void
-Metrics::TokenGap(double aMilliseconds)
+Metrics::RecordTokenGap(double aMilliseconds)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->tokenGap(aMilliseconds);
 }
 
 void
-Metrics::Write(const std::string& aName,
-               const Histogram& aHistogram,
-               std::string& aText)
+Metrics::WriteHistogram(const std::string& aName,
+                        const Histogram& aHistogram,
+                        std::string& aText)
 {
   std::ostringstream text;
   text << "# TYPE " << aName << " histogram\n";
@@ -73,7 +73,7 @@
 }
 
 std::string
-Metrics::Expose()
+Metrics::ToPrometheusText()
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   std::string text;
@@ -87,8 +87,8 @@
     text += name + (labels.empty() ? "" : "{" + labels + "}") + " " +
             std::to_string(value) + "\n";
   }
-  Write("toucanshed_first_token_ms", this->firstToken, text);
-  Write("toucanshed_token_gap_ms", this->tokenGap, text);
+  WriteHistogram("toucanshed_first_token_ms", this->firstToken, text);
+  WriteHistogram("toucanshed_token_gap_ms", this->tokenGap, text);
   return text;
 }
 
--- a/src/edge/Metrics.h
+++ b/src/edge/Metrics.h
@@ -21,20 +21,20 @@
   void Count(const std::string& aName,
              const std::string& aLabels = {},
              std::uint64_t aAdd = 1);
-  void FirstToken(double aMilliseconds);
-  void TokenGap(double aMilliseconds);
+  void RecordFirstToken(double aMilliseconds);
+  void RecordTokenGap(double aMilliseconds);
 
   /** All counters and histograms as text. */
-  std::string Expose();
+  std::string ToPrometheusText();
 
 private:
   using Histogram = decltype(boost::histogram::make_histogram(
     boost::histogram::axis::regular<double,
                                     boost::histogram::axis::transform::log>{}));
 
-  static void Write(const std::string& aName,
-                    const Histogram& aHistogram,
-                    std::string& aText);
+  static void WriteHistogram(const std::string& aName,
+                             const Histogram& aHistogram,
+                             std::string& aText);
 
   std::mutex mutex;
   std::map<std::pair<std::string, std::string>, std::uint64_t> counters;
--- a/src/edge/Notifier.cpp
+++ b/src/edge/Notifier.cpp
@@ -11,22 +11,22 @@
 void
 Notifier::NotifyAll()
 {
-  std::list<Sleeper> woken;
+  std::list<WaitingCoroutine> woken;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
     ++this->version;
-    woken.swap(this->sleepers);
+    woken.swap(this->waiting);
   }
-  for (const Sleeper& sleeper : woken) {
+  for (const WaitingCoroutine& sleeper : woken) {
     net::post(sleeper.worker->context,
               [timer = sleeper.timer] { timer->cancel(); });
   }
 }
 
 Task<void>
-Notifier::WaitSince(std::uint64_t aSeen,
-                    Worker& aWorker,
-                    std::chrono::milliseconds aLimit)
+Notifier::WaitForChange(std::uint64_t aSeen,
+                        Worker& aWorker,
+                        std::chrono::milliseconds aLimit)
 {
   auto timer = std::make_shared<net::steady_timer>(aWorker.context);
   timer->expires_after(aLimit);
@@ -35,13 +35,13 @@
     if (this->version != aSeen) {
       co_return;
     }
-    this->sleepers.push_back(Sleeper{ &aWorker, timer });
+    this->waiting.push_back(WaitingCoroutine{ &aWorker, timer });
   }
   boost::system::error_code woken;
   co_await timer->async_wait(net::redirect_error(net::use_awaitable, woken));
   const std::lock_guard<std::mutex> lock(this->mutex);
-  this->sleepers.remove_if(
-    [&](const Sleeper& aSleeper) { return aSleeper.timer == timer; });
+  this->waiting.remove_if(
+    [&](const WaitingCoroutine& aSleeper) { return aSleeper.timer == timer; });
 }
 
 } // namespace toucanshed
--- a/src/edge/Notifier.h
+++ b/src/edge/Notifier.h
@@ -30,12 +30,12 @@
   [[nodiscard]] std::uint64_t Version() const { return this->version; }
   void NotifyAll();
   /** Returns once the version differs from aSeen, or after aLimit. */
-  Task<void> WaitSince(std::uint64_t aSeen,
-                       Worker& aWorker,
-                       std::chrono::milliseconds aLimit);
+  Task<void> WaitForChange(std::uint64_t aSeen,
+                           Worker& aWorker,
+                           std::chrono::milliseconds aLimit);
 
 private:
-  struct Sleeper
+  struct WaitingCoroutine
   {
     Worker* worker = nullptr;
     std::shared_ptr<boost::asio::steady_timer> timer;
@@ -43,7 +43,7 @@
 
   std::atomic<std::uint64_t> version{ 0 };
   std::mutex mutex;
-  std::list<Sleeper> sleepers;
+  std::list<WaitingCoroutine> waiting;
 };
 
 } // namespace toucanshed
--- a/src/edge/PeerSocket.cpp
+++ b/src/edge/PeerSocket.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /** Messages that wait for one peer; more are dropped. */
-constexpr int kHighWater = 200;
+constexpr int kSendHighWaterMark = 200;
 /** Connections to peers kept open; the least recently used one goes. */
-constexpr std::size_t kMostConnections = 64;
-constexpr const char* kWakeAddress = "inproc://toucanshed.peer.wake";
-constexpr const char* kAuthAddress = "inproc://zeromq.zap.01";
+constexpr std::size_t kMaxConnections = 64;
+constexpr const char* kSendQueueAddress = "inproc://toucanshed.peer.wake";
+constexpr const char* kZapAddress = "inproc://zeromq.zap.01";
 
 } // namespace
 
@@ -23,39 +23,40 @@
   struct Connection
   {
     zmq::socket_t socket;
-    std::uint64_t used = 0;
+    std::uint64_t lastUse = 0;
   };
 
   zmq::context_t context{ 1 };
   zmq::socket_t incoming{ context, zmq::socket_type::router };
-  zmq::socket_t wakeIn{ context, zmq::socket_type::pull };
+  zmq::socket_t sendQueueOutput{ context, zmq::socket_type::pull };
   zmq::socket_t auth{ context, zmq::socket_type::rep };
-  std::mutex wakeMutex; // guards wakeOut, which Send uses from any thread
-  zmq::socket_t wakeOut{ context, zmq::socket_type::push };
+  std::mutex sendQueueMutex; // guards wakeOut, which Send uses from any thread
+  zmq::socket_t sendQueueInput{ context, zmq::socket_type::push };
   std::map<std::string, Connection> outgoing;
-  std::uint64_t uses = 0;
+  std::uint64_t useCounter = 0;
   bool stopping = false;
 
-  zmq::socket_t& To(const std::string& aAddress, const PeerKeys& aKeys);
+  zmq::socket_t& SocketFor(const std::string& aAddress, const PeerKeys& aKeys);
   void Authenticate(const PeerKeys& aKeys, PeerTraffic& aTraffic);
 };
 
 zmq::socket_t&
-PeerSocket::Sockets::To(const std::string& aAddress, const PeerKeys& aKeys)
+PeerSocket::Sockets::SocketFor(const std::string& aAddress,
+                               const PeerKeys& aKeys)
 {
   auto found = this->outgoing.find(aAddress);
   if (found == this->outgoing.end()) {
-    if (this->outgoing.size() >= kMostConnections) {
+    if (this->outgoing.size() >= kMaxConnections) {
       this->outgoing.erase(
         std::min_element(this->outgoing.begin(),
                          this->outgoing.end(),
                          [](const auto& aLeft, const auto& aRight) {
-                           return aLeft.second.used < aRight.second.used;
+                           return aLeft.second.lastUse < aRight.second.lastUse;
                          }));
     }
     zmq::socket_t socket(this->context, zmq::socket_type::dealer);
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::sndhwm, kHighWater);
+    socket.set(zmq::sockopt::sndhwm, kSendHighWaterMark);
     socket.set(zmq::sockopt::reconnect_ivl_max, 1000);
     if (!aKeys.publicKey.empty()) {
       socket.set(zmq::sockopt::curve_serverkey, aKeys.publicKey);
@@ -66,7 +67,7 @@
     found = this->outgoing.emplace(aAddress, Connection{ std::move(socket), 0 })
               .first;
   }
-  found->second.used = ++this->uses;
+  found->second.lastUse = ++this->useCounter;
   return found->second.socket;
 }
 
@@ -95,7 +96,7 @@
       reinterpret_cast<const std::uint8_t*>(frames[kKeyFrame].data()),
       frames[kKeyFrame].size()) != nullptr &&
     aKeys.publicKey == text.data();
-  aTraffic.refused += known ? 0 : 1;
+  aTraffic.rejectedHandshakes += known ? 0 : 1;
   const std::string id = frames.size() > kIdFrame ? frames[kIdFrame] : "";
   const std::array<std::string, 6> answer{
     "1.0", id, known ? "200" : "400", known ? "OK" : "unknown key", "", ""
@@ -127,19 +128,19 @@
   try {
     all.incoming.set(zmq::sockopt::linger, 0);
     if (!this->keys.publicKey.empty()) {
-      all.auth.bind(kAuthAddress);
+      all.auth.bind(kZapAddress);
       all.incoming.set(zmq::sockopt::zap_domain, "peers");
       all.incoming.set(zmq::sockopt::curve_server, 1);
       all.incoming.set(zmq::sockopt::curve_secretkey, this->keys.secretKey);
     }
     all.incoming.bind("tcp://" + this->address);
-    all.wakeIn.bind(kWakeAddress);
-    all.wakeOut.connect(kWakeAddress);
+    all.sendQueueOutput.bind(kSendQueueAddress);
+    all.sendQueueInput.connect(kSendQueueAddress);
   } catch (const zmq::error_t& error) {
     return Fail(ErrorCode::eUnavailable,
                 "peer port " + this->address + ": " + error.what());
   }
-  this->thread = std::thread([this] { this->Loop(); });
+  this->thread = std::thread([this] { this->Run(); });
   return {};
 }
 
@@ -150,8 +151,9 @@
     return;
   }
   {
-    const std::lock_guard<std::mutex> lock(this->sockets->wakeMutex);
-    this->sockets->wakeOut.send(zmq::str_buffer("stop"), zmq::send_flags::none);
+    const std::lock_guard<std::mutex> lock(this->sockets->sendQueueMutex);
+    this->sockets->sendQueueInput.send(zmq::str_buffer("stop"),
+                                       zmq::send_flags::none);
   }
   this->thread.join();
 }
@@ -160,18 +162,19 @@
 PeerSocket::Send(const std::string& aAddress, const peer::Envelope& aEnvelope)
 {
   const std::string bytes = aEnvelope.SerializeAsString();
-  const std::lock_guard<std::mutex> lock(this->sockets->wakeMutex);
-  this->sockets->wakeOut.send(zmq::buffer(aAddress), zmq::send_flags::sndmore);
-  this->sockets->wakeOut.send(zmq::buffer(bytes), zmq::send_flags::none);
+  const std::lock_guard<std::mutex> lock(this->sockets->sendQueueMutex);
+  this->sockets->sendQueueInput.send(zmq::buffer(aAddress),
+                                     zmq::send_flags::sndmore);
+  this->sockets->sendQueueInput.send(zmq::buffer(bytes), zmq::send_flags::none);
 }
 
 void
-PeerSocket::Loop()
+PeerSocket::Run()
 {
   Sockets& all = *this->sockets;
   std::array<zmq::pollitem_t, 3> items{ {
     { all.incoming.handle(), 0, ZMQ_POLLIN, 0 },
-    { all.wakeIn.handle(), 0, ZMQ_POLLIN, 0 },
+    { all.sendQueueOutput.handle(), 0, ZMQ_POLLIN, 0 },
     { all.auth.handle(), 0, ZMQ_POLLIN, 0 },
   } };
   while (!all.stopping) {
@@ -193,12 +196,12 @@
     if ((items[1].revents & ZMQ_POLLIN) != 0) {
       zmq::message_t target;
       zmq::message_t body;
-      static_cast<void>(all.wakeIn.recv(target));
+      static_cast<void>(all.sendQueueOutput.recv(target));
       all.stopping = !target.more();
-      if (!all.stopping && all.wakeIn.recv(body)) {
+      if (!all.stopping && all.sendQueueOutput.recv(body)) {
         ++this->traffic.messagesSent;
         this->traffic.bytesSent += body.size();
-        all.To(target.to_string(), this->keys)
+        all.SocketFor(target.to_string(), this->keys)
           .send(body, zmq::send_flags::dontwait);
       }
     }
--- a/src/edge/PeerSocket.h
+++ b/src/edge/PeerSocket.h
@@ -29,7 +29,7 @@
   std::atomic<std::uint64_t> bytesSent{ 0 };
   std::atomic<std::uint64_t> messagesReceived{ 0 };
   std::atomic<std::uint64_t> bytesReceived{ 0 };
-  std::atomic<std::uint64_t> refused{ 0 };
+  std::atomic<std::uint64_t> rejectedHandshakes{ 0 };
 };
 
 /**
@@ -61,7 +61,7 @@
 private:
   struct Sockets;
 
-  void Loop();
+  void Run();
 
   std::string address;
   PeerKeys keys;
--- a/src/edge/Worker.cpp
+++ b/src/edge/Worker.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 void
-StopOnException(const std::exception_ptr& aException)
+AbortOnException(const std::exception_ptr& aException)
 {
   if (!aException) {
     return;
@@ -35,7 +35,7 @@
 void
 Worker::Spawn(Task<void> aTask)
 {
-  net::co_spawn(this->context, std::move(aTask), &StopOnException);
+  net::co_spawn(this->context, std::move(aTask), &AbortOnException);
 }
 
 Task<void>
--- a/src/edge/Worker.h
+++ b/src/edge/Worker.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "HttpPool.h"
+#include "HttpConnectionPool.h"
 #include "Task.h"
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
 struct Worker
 {
   boost::asio::io_context context{ 1 };
-  HttpPool pool{ context };
+  HttpConnectionPool connectionPool{ context };
 
   /** Starts a coroutine on this worker. An exception that leaves it is a
    * broken invariant and stops the process. */
--- a/src/edge/WorkerPool.cpp
+++ b/src/edge/WorkerPool.cpp
@@ -14,7 +14,7 @@
 Worker&
 WorkerPool::Next()
 {
-  return *this->workers[this->turn++ % this->workers.size()];
+  return *this->workers[this->nextIndex++ % this->workers.size()];
 }
 
 void
--- a/src/edge/WorkerPool.h
+++ b/src/edge/WorkerPool.h
@@ -33,7 +33,7 @@
 
 private:
   std::vector<std::unique_ptr<Worker>> workers;
-  std::atomic<std::size_t> turn{ 0 };
+  std::atomic<std::size_t> nextIndex{ 0 };
 };
 
 } // namespace toucanshed
--- a/src/serve/BackendList.cpp
+++ b/src/serve/BackendList.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 void
-LogBackend(ServingState& aState,
-           const Backend& aBackend,
-           const char* aWhat,
-           Position aPosition,
-           const ListRead& aRead)
+LogBackendChange(ServingState& aState,
+                 const Backend& aBackend,
+                 const char* aWhat,
+                 Position aPosition,
+                 const BackendListRead& aRead)
 {
   const BackendEntry& entry = aBackend.entry;
   const TimePoint now = ServingState::Now();
-  const bool used = aBackend.sentAt.ms != 0;
+  const bool used = aBackend.lastSentAt.ms != 0;
   aState.log.Emit(
     Event("backend.listed")
       .With("backend", entry.id)
@@ -31,8 +31,8 @@
       .With("reader", aRead.reader)
       .With("read_ms_ago", (now - aRead.asOf).count())
       .With("position", aPosition.value)
-      .With("sent_ms_ago", used ? (now - aBackend.sentAt).count() : -1)
-      .With("running", aBackend.own.running));
+      .With("sent_ms_ago", used ? (now - aBackend.lastSentAt).count() : -1)
+      .With("running", aBackend.localLoad.running));
 }
 
 /** Its entry has gone; tells what becomes of it. */
@@ -40,33 +40,33 @@
 RemoveBackend(ServingState& aState,
               const InstanceId& aId,
               Position aPosition,
-              const ListRead& aRead)
+              const BackendListRead& aRead)
 {
   const Backend* known = aState.backends.Find(aId);
-  if (known == nullptr || known->usedUntil) {
+  if (known == nullptr || known->graceUntil) {
     return;
   }
-  LogBackend(aState, *known, "gone", aPosition, aRead);
+  LogBackendChange(aState, *known, "gone", aPosition, aRead);
   const TimePoint now = ServingState::Now();
   // All entries here were there when the copy was last known to be current.
   const TimePoint listed = aState.listFreshness.AsOf().value_or(TimePoint{});
-  aState.backends.Remove(aId, aState.storeOutage.UsedUntil(listed, now));
+  aState.backends.Remove(aId, aState.storeOutage.GraceUntil(listed, now));
   const Backend* kept = aState.backends.Find(aId);
   if (kept == nullptr) {
     aState.engineLimits.Forget(aId);
   } else {
     aState.log.Emit(Event("backend.kept")
                       .With("backend", aId)
-                      .With("for_ms", (*kept->usedUntil - now).count())
+                      .With("for_ms", (*kept->graceUntil - now).count())
                       .With("copy_ms_old", (now - listed).count()));
   }
 }
 
 bool
-TakeGone(ServingState& aState,
-         const InstanceId& aId,
-         Position aPosition,
-         const ListRead& aRead)
+ApplyRemoval(ServingState& aState,
+             const InstanceId& aId,
+             Position aPosition,
+             const BackendListRead& aRead)
 {
   const bool known = aState.backends.Find(aId) != nullptr;
   RemoveBackend(aState, aId, aPosition, aRead);
@@ -76,17 +76,18 @@
 } // namespace
 
 bool
-TakeBackendRecord(ServingState& aState,
-                  const KeyedRecord& aRecord,
-                  const ListRead& aRead)
+ApplyBackendRecord(ServingState& aState,
+                   const KeyedRecord& aRecord,
+                   const BackendListRead& aRead)
 {
   const InstanceId id{ aRecord.key };
-  const bool newer = aState.listCopy.Advance(aRecord.key, aRecord.position);
+  const bool newer =
+    aState.listRevisions.TryAdvance(aRecord.key, aRecord.position);
   if (!newer) {
     return false;
   }
   if (!aRecord.value) {
-    return TakeGone(aState, id, aRecord.position, aRead);
+    return ApplyRemoval(aState, id, aRecord.position, aRead);
   }
   const Backend* known = aState.backends.Find(id);
   auto entry = aState.wire.records.backend(aRecord.key, *aRecord.value);
@@ -95,53 +96,54 @@
                       .With("backend", id)
                       .With("reason", entry.error().message));
     const bool used = known != nullptr && !known->entry.leaving;
-    aState.backends.MarkUnlisted(id);
+    aState.backends.MarkEntryUnusable(id);
     return used;
   }
-  const bool same =
-    known != nullptr && known->entry == *entry && !known->usedUntil.has_value();
+  const bool same = known != nullptr && known->entry == *entry &&
+                    !known->graceUntil.has_value();
   const bool isNew = known == nullptr;
-  const bool isBack = !isNew && known->usedUntil.has_value();
-  const bool otherLife = !isNew && known->entry.born != entry->born;
+  const bool isBack = !isNew && known->graceUntil.has_value();
+  const bool otherLife =
+    !isNew && known->entry.incarnation != entry->incarnation;
   if (otherLife) {
     aState.engineLimits.Forget(id);
   }
   const bool leaves = entry->leaving && (isNew || !known->entry.leaving);
   aState.backends.Put(*entry);
   if (isNew || leaves || isBack) {
-    LogBackend(aState,
-               *aState.backends.Find(id),
-               leaves ? "leaving" : (isNew ? "new" : "back"),
-               aRecord.position,
-               aRead);
+    LogBackendChange(aState,
+                     *aState.backends.Find(id),
+                     leaves ? "leaving" : (isNew ? "new" : "back"),
+                     aRecord.position,
+                     aRead);
   }
   return !same;
 }
 
 void
-TakeLeaving(ServingState& aState,
-            const InstanceId& aId,
-            Position aPosition,
-            const ListRead& aRead)
+ApplyLeaving(ServingState& aState,
+             const InstanceId& aId,
+             Position aPosition,
+             const BackendListRead& aRead)
 {
   const Backend* known = aState.backends.Find(aId);
-  const bool news = aState.listCopy.Advance(aId.value, aPosition) &&
+  const bool news = aState.listRevisions.TryAdvance(aId.value, aPosition) &&
                     known != nullptr && !known->entry.leaving;
   if (news) {
-    LogBackend(aState, *known, "leaving", aPosition, aRead);
-    aState.backends.MarkUnlisted(aId);
+    LogBackendChange(aState, *known, "leaving", aPosition, aRead);
+    aState.backends.MarkEntryUnusable(aId);
   }
 }
 
 void
-ReplaceBackends(ServingState& aState,
-                const TopicPage& aPage,
-                const ListRead& aRead)
+ReplaceBackendList(ServingState& aState,
+                   const TopicPage& aPage,
+                   const BackendListRead& aRead)
 {
   std::set<InstanceId> listed;
   for (const KeyedRecord& record : aPage.records) {
     listed.insert(InstanceId{ record.key });
-    TakeBackendRecord(aState, record, aRead);
+    ApplyBackendRecord(aState, record, aRead);
   }
   std::vector<InstanceId> missing;
   for (const auto& [id, backend] : aState.backends.All()) {
@@ -152,12 +154,12 @@
   for (const InstanceId& id : missing) {
     RemoveBackend(aState, id, aPage.next, aRead);
   }
-  aState.listCopy.Replaced(aPage.next);
+  aState.listRevisions.RecordFullRead(aPage.next);
   aState.backendsRead = true;
 }
 
 void
-ExpireBackends(ServingState& aState, TimePoint aNow)
+DropExpiredBackends(ServingState& aState, TimePoint aNow)
 {
   for (const InstanceId& id : aState.backends.Expire(aNow)) {
     aState.engineLimits.Forget(id);
--- a/src/serve/BackendList.h
+++ b/src/serve/BackendList.h
@@ -12,7 +12,7 @@
 struct TopicPage;
 
 /** A read of the list. */
-struct ListRead
+struct BackendListRead
 {
   DaemonId reader; // who made it: this daemon or one that tells of it
   TimePoint asOf;  // when the store was asked, by this daemon's clock
@@ -22,26 +22,26 @@
  * used, and how; most records only show that an engine lives.
  * Thread safety: belongs to the worker, as do all of this file. */
 bool
-TakeBackendRecord(ServingState& aState,
-                  const KeyedRecord& aRecord,
-                  const ListRead& aRead);
+ApplyBackendRecord(ServingState& aState,
+                   const KeyedRecord& aRecord,
+                   const BackendListRead& aRead);
 
 /** The record at aPosition says that a back end takes nothing more. */
 void
-TakeLeaving(ServingState& aState,
-            const InstanceId& aId,
-            Position aPosition,
-            const ListRead& aRead);
+ApplyLeaving(ServingState& aState,
+             const InstanceId& aId,
+             Position aPosition,
+             const BackendListRead& aRead);
 
 /** The whole list: what is not in it has gone. */
 void
-ReplaceBackends(ServingState& aState,
-                const TopicPage& aPage,
-                const ListRead& aRead);
+ReplaceBackendList(ServingState& aState,
+                   const TopicPage& aPage,
+                   const BackendListRead& aRead);
 
 /** Drops the back ends that were kept, though their entries had gone, and are
  * not listed again in time. */
 void
-ExpireBackends(ServingState& aState, TimePoint aNow);
+DropExpiredBackends(ServingState& aState, TimePoint aNow);
 
 } // namespace toucanshed
--- /dev/null
+++ b/src/serve/BackendLoadGuard.h
@@ -0,0 +1,57 @@
+/** \file
+ * Counts a request at a back end for as long as it is there.
+ */
+#pragma once
+
+#include "coord/BackendTable.h"
+
+namespace toucanshed {
+
+/**
+ * Thread safety: none; belongs to the worker. The table must outlive it.
+ */
+class BackendLoadGuard
+{
+public:
+  BackendLoadGuard(BackendTable& aTable,
+                   InstanceId aBackend,
+                   std::int64_t aPromptTokens,
+                   TimePoint aNow)
+    : table(aTable)
+    , backend(std::move(aBackend))
+    , load{ 1, aPromptTokens }
+  {
+    if (Backend* found = this->table.Find(this->backend)) {
+      found->lastSentAt = aNow;
+      const bool idle = found->localLoad.running == 0;
+      found->lastProgressAt = idle ? aNow : found->lastProgressAt;
+    }
+    this->AddLoad(1);
+  }
+  ~BackendLoadGuard() { this->AddLoad(-1); }
+  BackendLoadGuard(const BackendLoadGuard&) = delete;
+  BackendLoadGuard& operator=(const BackendLoadGuard&) = delete;
+
+  /** The prompt was read. */
+  void RecordFirstToken()
+  {
+    this->AddLoad(-1);
+    this->load.promptTokens = 0;
+    this->AddLoad(1);
+  }
+
+private:
+  void AddLoad(std::int64_t aSign)
+  {
+    if (Backend* found = this->table.Find(this->backend)) {
+      found->localLoad.running += aSign * this->load.running;
+      found->localLoad.promptTokens += aSign * this->load.promptTokens;
+    }
+  }
+
+  BackendTable& table;
+  InstanceId backend;
+  BackendLoad load;
+};
+
+} // namespace toucanshed
--- a/src/serve/CallerFace.cpp
+++ b/src/serve/CallerHandler.cpp
@@ -1,7 +1,7 @@
-#include "CallerFace.h"
+#include "CallerHandler.h"
 
-#include "OwnAnswers.h"
-#include "RequestRun.h"
+#include "LocalResponses.h"
+#include "RequestForwarder.h"
 #include "ServingState.h"
 #include "base/Hash.h"
 #include "coord/SuspectTable.h"
@@ -15,24 +15,24 @@
 {
   unsigned status = 0;
   std::string reason;
-  std::optional<Millis> comeBack;
+  std::optional<Millis> retryDelay;
   TeamId team;
 };
 
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
-constexpr unsigned kTooMany = 429;
+constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kBadGateway = 502;
-constexpr unsigned kUnavailable = 503;
+constexpr unsigned kServiceUnavailable = 503;
 
 /** The same for each try of one request by one caller. */
 Fingerprint
 FingerprintOf(const IncomingRequest& aRequest)
 {
   const std::uint64_t what =
-    MixHash(Hash64(aRequest.target), Hash64(aRequest.message->body()));
-  return Fingerprint{ MixHash(what, Hash64(aRequest.key)) };
+    CombineHashes(Hash64(aRequest.target), Hash64(aRequest.message->body()));
+  return Fingerprint{ CombineHashes(what, Hash64(aRequest.key)) };
 }
 
 /** One of the route's services, by weight; the same for one attempt id at
@@ -58,15 +58,15 @@
 }
 
 double
-CostOf(const Team& aTeam, const IncomingRequest& aRequest)
+QuotaCostOf(const Team& aTeam, const IncomingRequest& aRequest)
 {
   if (!aTeam.countsTokens) {
     return 1;
   }
-  if (!aRequest.statesTokens) {
-    return static_cast<double>(aTeam.plainTokens);
+  if (!aRequest.hasTokenCounts) {
+    return static_cast<double>(aTeam.defaultTokens);
   }
-  return static_cast<double>(aRequest.promptTokens + aRequest.mostOutputTokens);
+  return static_cast<double>(aRequest.promptTokens + aRequest.maxOutputTokens);
 }
 
 tl::expected<ServingRequest, Refusal>
@@ -77,11 +77,11 @@
   request.incoming = std::move(aIncoming);
   request.catalog = aState.catalog;
   request.arrived = now;
-  const Millis patience = request.incoming.patience.value_or(Millis(0));
+  const Millis patience = request.incoming.callerTimeout.value_or(Millis(0));
   if (request.catalog == nullptr) {
-    return tl::unexpected(Refusal{ kUnavailable,
+    return tl::unexpected(Refusal{ kServiceUnavailable,
                                    "no configuration yet",
-                                   ComeBackAfter(aState, patience),
+                                   RetryDelayFor(aState, patience),
                                    {} });
   }
   request.route = request.catalog->FindRoute(request.incoming.host,
@@ -89,14 +89,14 @@
   if (request.route == nullptr) {
     return tl::unexpected(Refusal{ kNotFound, "no route", std::nullopt, {} });
   }
-  if (!request.route->open && !request.catalog->teams.empty()) {
+  if (!request.route->isPublic && !request.catalog->teams.empty()) {
     request.team = request.catalog->FindTeam(request.incoming.key);
     if (request.team == nullptr) {
       return tl::unexpected(
         Refusal{ kUnauthorized, "unknown key", std::nullopt, {} });
     }
   }
-  const Millis allowed = request.incoming.patience
+  const Millis allowed = request.incoming.callerTimeout
                            ? std::min(patience, request.route->timeout)
                            : request.route->timeout;
   request.deadline = now + allowed;
@@ -104,22 +104,22 @@
   request.fingerprint = FingerprintOf(request.incoming);
   const SuspectLevel suspect =
     SuspectTable::LevelOf(aState.facts, request.fingerprint);
-  if (suspect == SuspectLevel::eGivenUp) {
+  if (suspect == SuspectLevel::eRejected) {
     return tl::unexpected(Refusal{ kBadGateway,
                                    "this request has crashed its back ends",
                                    std::nullopt,
                                    {} });
   }
   if (request.team != nullptr) {
-    aState.CountQuotaUse(now);
-    const auto wait = aState.quotas.Take(
-      *request.team, CostOf(*request.team, request.incoming), now);
+    aState.UpdateQuotas(now);
+    const auto wait = aState.quotas.TryTake(
+      *request.team, QuotaCostOf(*request.team, request.incoming), now);
     if (wait) {
-      return tl::unexpected(
-        Refusal{ kTooMany, "over the team's limit", *wait, request.team->id });
+      return tl::unexpected(Refusal{
+        kTooManyRequests, "over the team's limit", *wait, request.team->id });
     }
-    if (aState.quotas.MustTell(request.team->id, aState.Daemons())) {
-      aState.tellQuota(request.team->id);
+    if (aState.quotas.MustReportNow(request.team->id, aState.DaemonCount())) {
+      aState.sendQuota(request.team->id);
     }
   }
   return request;
@@ -139,36 +139,36 @@
       .With("status", aRefusal.status)
       .With("why", aRefusal.reason)
       .With("team", aRefusal.team)
-      .With("come_back_ms", aRefusal.comeBack.value_or(Millis(0)).count())
+      .With("come_back_ms", aRefusal.retryDelay.value_or(Millis(0)).count())
       .With("catalog", aState.catalog ? aState.catalog->version : 0));
-  HttpReply reply = OwnAnswer(
-    aState, aAttempt, aRefusal.status, aRefusal.reason, aRefusal.comeBack);
+  HttpResponse reply = MakeLocalResponse(
+    aState, aAttempt, aRefusal.status, aRefusal.reason, aRefusal.retryDelay);
   co_await aResponder.Send(std::move(reply));
 }
 
 /** Counts the requests in progress. */
-struct Counted
+struct InProgressGuard
 {
   std::size_t& count;
 
-  explicit Counted(std::size_t& aCount)
+  explicit InProgressGuard(std::size_t& aCount)
     : count(aCount)
   {
     ++this->count;
   }
-  ~Counted() { --this->count; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  ~InProgressGuard() { --this->count; }
+  InProgressGuard(const InProgressGuard&) = delete;
+  InProgressGuard& operator=(const InProgressGuard&) = delete;
 };
 
 } // namespace
 
 Task<void>
-ServeCaller(ServingState& aState,
-            const HttpRequest& aMessage,
-            HttpResponder& aResponder)
+HandleCallerRequest(ServingState& aState,
+                    const HttpRequest& aMessage,
+                    HttpResponder& aResponder)
 {
-  const Counted counted(aState.inProgress);
+  const InProgressGuard counted(aState.inProgress);
   auto incoming = aState.wire.callers.read(aMessage);
   if (!incoming) {
     Refusal refusal{ kBadRequest, incoming.error().message, std::nullopt, {} };
@@ -185,7 +185,7 @@
       aState, aResponder, std::move(attempt), std::move(refusal));
     co_return;
   }
-  RequestRun run(aState, std::move(*admitted), aResponder);
+  RequestForwarder run(aState, std::move(*admitted), aResponder);
   co_await run.Run();
 }
 
--- a/src/serve/CallerFace.h
+++ b/src/serve/CallerHandler.h
@@ -14,8 +14,8 @@
 
 /** Answers one request. Both references must outlive the task. */
 Task<void>
-ServeCaller(ServingState& aState,
-            const HttpRequest& aMessage,
-            HttpResponder& aResponder);
+HandleCallerRequest(ServingState& aState,
+                    const HttpRequest& aMessage,
+                    HttpResponder& aResponder);
 
 } // namespace toucanshed
--- a/src/serve/CrashWatch.cpp
+++ b/src/serve/CrashProbe.cpp
@@ -1,4 +1,4 @@
-#include "CrashWatch.h"
+#include "CrashProbe.h"
 
 #include "ServingState.h"
 #include "coord/SuspectTable.h"
@@ -15,15 +15,15 @@
 namespace {
 
 /** After the cut, so that a process that is dying has let go of its port. */
-constexpr Millis kLookAfter{ 30 };
-constexpr Millis kConnectTime{ 300 };
+constexpr Millis kProbeDelay{ 30 };
+constexpr Millis kConnectTimeout{ 300 };
 
 } // namespace
 
 Task<void>
-NoteIfCrashed(ServingState& aState,
-              InstanceId aBackend,
-              Fingerprint aFingerprint)
+RecordIfCrashed(ServingState& aState,
+                InstanceId aBackend,
+                Fingerprint aFingerprint)
 {
   const Backend* backend = aState.backends.Find(aBackend);
   if (backend == nullptr || backend->leaving) {
@@ -31,14 +31,14 @@
   }
   const auto endpoint = ParseEndpoint(backend->entry.address);
   const std::string engineLife =
-    aBackend.value + "/" + std::to_string(backend->entry.born);
+    aBackend.value + "/" + std::to_string(backend->entry.incarnation);
   if (!endpoint) {
     co_return;
   }
-  co_await Sleep(kLookAfter);
+  co_await Sleep(kProbeDelay);
   boost::system::error_code error;
   boost::beast::tcp_stream probe(aState.pool.First().context);
-  probe.expires_after(kConnectTime);
+  probe.expires_after(kConnectTimeout);
   co_await probe.async_connect(*endpoint,
                                net::redirect_error(net::use_awaitable, error));
   if (!error) {
--- a/src/serve/CrashWatch.h
+++ b/src/serve/CrashProbe.h
@@ -17,8 +17,8 @@
  * A request that three engines crashed with is not sent any more, by any
  * daemon. */
 Task<void>
-NoteIfCrashed(ServingState& aState,
-              InstanceId aBackend,
-              Fingerprint aFingerprint);
+RecordIfCrashed(ServingState& aState,
+                InstanceId aBackend,
+                Fingerprint aFingerprint);
 
 } // namespace toucanshed
--- a/src/serve/DutyKeeper.cpp
+++ b/src/serve/DutyRunner.cpp
@@ -1,4 +1,4 @@
-#include "DutyKeeper.h"
+#include "DutyRunner.h"
 
 #include "ServingState.h"
 #include "StoreClient.h"
@@ -10,57 +10,57 @@
 
 namespace {
 
-constexpr Millis kLook{ 250 };
+constexpr Millis kPollInterval{ 250 };
 /** At its start a daemon waits this often, so long each, until it knows who the
  * others are. */
-constexpr int kMeetLooks = 8;
-constexpr Millis kMeetLook{ 25 };
+constexpr int kMembersMaxPolls = 8;
+constexpr Millis kMembersPollInterval{ 25 };
 /** Beyond the lease, before a daemon that was overtaken claims again: two
  * daemons that take the duties from each other must not act in turns within one
  * lease. Others claim as soon as the holder seems gone; the records fence off
  * one that lives after all. */
-constexpr Millis kBeyondLease{ 300 };
+constexpr Millis kLeaseMargin{ 300 };
 /** A holder that does not reach the store for this long gives the duties up: it
  * can record nothing and so may do nothing, and others may reach the store.
  * Holding on, it would leave a reclaim without an order for engines. */
-constexpr Millis kStoreAway{ 1000 };
+constexpr Millis kMaxStoreOutage{ 1000 };
 /** The second daemon in the order waits this much longer, and so on, so that
  * one alone claims; the store would refuse the others, but at a price. */
-constexpr Millis kClaimStep{ 600 };
+constexpr Millis kClaimStagger{ 600 };
 /** Time from a look at the records to a call that rests on it. A holder that
  * was paused for longer looks again whether it still holds the duty. */
-constexpr Millis kMostPause{ 800 };
+constexpr Millis kMaxClaimCheckAge{ 800 };
 
 } // namespace
 
-DutyKeeper::DutyKeeper(ServingState& aState,
+DutyRunner::DutyRunner(ServingState& aState,
                        std::function<TimePoint()> aBootTime)
   : state(aState)
   , bootTime(std::move(aBootTime))
-  , holderHeardAt(ServingState::Now())
+  , holderReportedAt(ServingState::Now())
 {
 }
 
 bool
-DutyKeeper::Holds() const
+DutyRunner::HoldsDuties() const
 {
   return this->state.dutyFence.value != 0;
 }
 
 Task<void>
-DutyKeeper::Run()
+DutyRunner::Run()
 {
-  co_await this->Resume();
+  co_await this->ReclaimAfterRestart();
   while (!this->state.stopping) {
-    co_await Sleep(kLook);
-    this->NoteHolder();
-    this->WatchEngines();
-    if (this->Holds() && this->StoreIsAway()) {
+    co_await Sleep(kPollInterval);
+    this->UpdateHolder();
+    this->UpdatePlanner();
+    if (this->HoldsDuties() && this->IsStoreUnreachable()) {
       this->StepDown("the store is not reached");
     }
-    if (this->Holds()) {
-      co_await this->Act();
-    } else if (this->HolderSeemsGone()) {
+    if (this->HoldsDuties()) {
+      co_await this->PerformDuties();
+    } else if (this->ShouldClaim()) {
       co_await this->TryClaim();
     }
   }
@@ -68,50 +68,51 @@
 }
 
 Task<void>
-DutyKeeper::Resume()
+DutyRunner::ReclaimAfterRestart()
 {
   // The first ones in the order of ids claim before the others, so a holder is
   // nearly always one of them. Hundreds that start together would read the same
   // records for nothing.
-  for (int i = 0; i < kMeetLooks && !this->state.peers.Met(); ++i) {
-    co_await Sleep(kMeetLook);
+  for (int i = 0; i < kMembersMaxPolls && !this->state.peers.HasReadList();
+       ++i) {
+    co_await Sleep(kMembersPollInterval);
   }
-  if (this->state.peers.KnownBefore() >= PeerTable::kKeepers) {
-    this->unread = true;
+  if (this->state.peers.PrecedingPeers() >= PeerTable::kDutyCandidates) {
+    this->initialReadSkipped = true;
     co_return;
   }
   const bool caughtUp = co_await this->CatchUp();
-  this->read = caughtUp;
-  if (caughtUp && this->OwnedBefore()) {
+  this->logRead = caughtUp;
+  if (caughtUp && this->IsLatestClaimant()) {
     co_await this->TryClaim();
   }
 }
 
 void
-DutyKeeper::NoteHolder()
+DutyRunner::UpdateHolder()
 {
-  const auto holder = this->state.peers.Holder();
+  const auto holder = this->state.peers.DutyHolder();
   if (!holder) {
     return;
   }
   this->holderSeen = true;
-  this->holderHeardAt = std::max(this->holderHeardAt, holder->heard);
-  this->holderEnd = std::max(this->holderEnd, holder->recordsEnd);
+  this->holderReportedAt = std::max(this->holderReportedAt, holder->receivedAt);
+  this->holderLogEnd = std::max(this->holderLogEnd, holder->dutyLogEnd);
 }
 
 bool
-DutyKeeper::StoreIsAway() const
+DutyRunner::IsStoreUnreachable() const
 {
-  const auto& lost = this->state.storeLost;
-  return lost && ServingState::Now() - *lost > kStoreAway;
+  const auto& lost = this->state.storeLostSince;
+  return lost && ServingState::Now() - *lost > kMaxStoreOutage;
 }
 
 std::int64_t
-DutyKeeper::ClaimantsBefore() const
+DutyRunner::CandidatesAhead() const
 {
   std::int64_t before = 0;
-  for (const serving::DaemonWord* word :
-       this->state.peers.Live(ServingState::Now())) {
+  for (const serving::DaemonHeartbeat* word :
+       this->state.peers.LiveHeartbeats(ServingState::Now())) {
     const bool claims = !word->store_lost() && !word->stopping() &&
                         word->id() < this->state.settings.id.value;
     before += claims ? 1 : 0;
@@ -120,43 +121,44 @@
 }
 
 bool
-DutyKeeper::HolderSeemsGone() const
+DutyRunner::ShouldClaim() const
 {
   const TimePoint now = ServingState::Now();
-  const bool pauses = this->state.storeLost && now - this->triedAt < kStoreAway;
+  const bool pauses =
+    this->state.storeLostSince && now - this->claimTriedAt < kMaxStoreOutage;
   if (pauses) {
     return false;
   }
-  const Millis turn = kClaimStep * this->ClaimantsBefore();
-  if (this->records.WasOvertaken(this->state.settings.id)) {
-    const Millis lease = this->state.settings.bounds.lease + kBeyondLease;
-    return now - this->holderHeardAt > lease + turn &&
-           now - this->records.NewestAt() > lease + turn;
+  const Millis turn = kClaimStagger * this->CandidatesAhead();
+  if (this->dutyLog.WasSuperseded(this->state.settings.id)) {
+    const Millis lease = this->state.settings.bounds.lease + kLeaseMargin;
+    return now - this->holderReportedAt > lease + turn &&
+           now - this->dutyLog.LatestAt() > lease + turn;
   }
   // All daemons' words say that nobody holds the duties any more, so the holder
   // has given them up and need not be waited for.
-  const bool givenUp = this->holderSeen && !this->state.peers.Holder();
+  const bool givenUp = this->holderSeen && !this->state.peers.DutyHolder();
   if (givenUp) {
-    return now - this->holderHeardAt > turn;
+    return now - this->holderReportedAt > turn;
   }
-  const Millis wait = this->state.peers.Silent() + turn;
-  return now - this->holderHeardAt > wait &&
-         now - this->records.NewestAt() > wait;
+  const Millis wait = this->state.peers.PeerTimeout() + turn;
+  return now - this->holderReportedAt > wait &&
+         now - this->dutyLog.LatestAt() > wait;
 }
 
 bool
-DutyKeeper::OwnedBefore() const
+DutyRunner::IsLatestClaimant() const
 {
-  const auto& claim = this->records.Claim();
+  const auto& claim = this->dutyLog.Claim();
   return claim && claim->holder == this->state.settings.id;
 }
 
 Task<bool>
-DutyKeeper::CatchUp()
+DutyRunner::CatchUp()
 {
   while (true) {
-    const Position from = this->records.End();
-    const StorePurpose purpose{ "read", StoreTopic::eDuties };
+    const Position from = this->dutyLog.NextPosition();
+    const StoreCallLabels purpose{ "read", StoreTopic::eDuties };
     auto reply = co_await CallStore(
       this->state,
       purpose,
@@ -166,11 +168,11 @@
     }
     auto page = this->state.wire.store.logPage(*reply, from);
     if (!page) {
-      const auto first = this->state.wire.store.firstKept(*reply);
+      const auto first = this->state.wire.store.firstRetained(*reply);
       if (!first || *first <= from) {
         co_return false;
       }
-      this->records.SkipTo(*first);
+      this->dutyLog.SkipTo(*first);
       continue;
     }
     const TimePoint now = ServingState::Now();
@@ -179,110 +181,111 @@
       if (!record.ParseFromString(text)) {
         this->state.log.Emit(Event("duty.unreadable"));
       }
-      this->records.Apply(record, now);
+      this->dutyLog.Apply(record, now);
     }
-    this->state.dutyEnd = this->records.End();
-    if (page->records.empty() || this->records.End() >= page->end) {
+    this->state.dutyLogEnd = this->dutyLog.NextPosition();
+    if (page->records.empty() || this->dutyLog.NextPosition() >= page->end) {
       co_return true;
     }
   }
 }
 
 Task<void>
-DutyKeeper::TryClaim()
+DutyRunner::TryClaim()
 {
-  this->triedAt = ServingState::Now();
-  const Position known = this->records.End();
+  this->claimTriedAt = ServingState::Now();
+  const Position known = this->dutyLog.NextPosition();
   const bool caughtUp = co_await this->CatchUp();
   if (!caughtUp) {
     co_return;
   }
   // Who reads the records for the first time does not know whether the newest
   // were added just now; the next try does.
-  if (std::exchange(this->unread, false) && !this->OwnedBefore()) {
+  if (std::exchange(this->initialReadSkipped, false) &&
+      !this->IsLatestClaimant()) {
     co_return;
   }
   // What the holder had told before it fell silent is not news.
-  const bool news =
-    this->read && this->records.End() > std::max(known, this->holderEnd);
-  this->read = true;
-  if (news && !this->OwnedBefore()) {
+  const bool news = this->logRead && this->dutyLog.NextPosition() >
+                                       std::max(known, this->holderLogEnd);
+  this->logRead = true;
+  if (news && !this->IsLatestClaimant()) {
     co_return; // somebody acted lately
   }
   serving::DutyRecord claim;
   claim.set_holder(this->state.settings.id.value);
-  claim.set_life(this->state.life);
-  const Position at = this->records.End();
+  claim.set_life(this->state.incarnation);
+  const Position at = this->dutyLog.NextPosition();
   const auto appended = co_await AppendToStore(
     this->state, StoreTopic::eDuties, claim.SerializeAsString(), at);
   if (!appended) {
     // Lost or refused: what is in the records by the next look decides.
     co_return;
   }
-  this->records.Apply(claim, ServingState::Now());
-  this->state.dutyEnd = this->records.End();
-  this->state.dutyFence = this->records.Claim()->fence;
-  this->sent.clear();
+  this->dutyLog.Apply(claim, ServingState::Now());
+  this->state.dutyLogEnd = this->dutyLog.NextPosition();
+  this->state.dutyFence = this->dutyLog.Claim()->fence;
+  this->acceptedReports.clear();
   this->state.log.Emit(
     Event("duty.claimed").With("fence", this->state.dutyFence.value));
 }
 
 void
-DutyKeeper::StepDown(const std::string& aWhy)
+DutyRunner::StepDown(const std::string& aWhy)
 {
   this->state.log.Emit(Event("duty.given_up")
                          .With("fence", this->state.dutyFence.value)
                          .With("why", aWhy));
   this->state.dutyFence = Position{};
   this->holderSeen = true;
-  this->holderHeardAt = ServingState::Now();
+  this->holderReportedAt = ServingState::Now();
 }
 
 Task<bool>
-DutyKeeper::Record(serving::DutyRecord aRecord)
+DutyRunner::AppendRecord(serving::DutyRecord aRecord)
 {
   aRecord.set_holder(this->state.settings.id.value);
-  aRecord.set_life(this->state.life);
+  aRecord.set_life(this->state.incarnation);
   aRecord.set_fence(this->state.dutyFence.value);
   const TimePoint began = this->bootTime();
   const auto appended = co_await AppendToStore(this->state,
                                                StoreTopic::eDuties,
                                                aRecord.SerializeAsString(),
-                                               this->records.End());
-  if (appended && this->bootTime() - began < kMostPause) {
+                                               this->dutyLog.NextPosition());
+  if (appended && this->bootTime() - began < kMaxClaimCheckAge) {
     this->confirmedAt = began;
-    this->records.Apply(aRecord, ServingState::Now());
-    this->state.dutyEnd = this->records.End();
+    this->dutyLog.Apply(aRecord, ServingState::Now());
+    this->state.dutyLogEnd = this->dutyLog.NextPosition();
     co_return true;
   }
-  co_await this->LookAgain();
+  co_await this->RecheckClaim();
   co_return false; // the next look finds what stands in the records
 }
 
 bool
-DutyKeeper::Confirmed() const
+DutyRunner::IsClaimConfirmed() const
 {
-  return this->bootTime() - this->confirmedAt < kMostPause;
+  return this->bootTime() - this->confirmedAt < kMaxClaimCheckAge;
 }
 
 Task<bool>
-DutyKeeper::Confirm()
+DutyRunner::ConfirmClaim()
 {
-  if (!this->Holds() || this->Confirmed()) {
-    co_return this->Holds();
+  if (!this->HoldsDuties() || this->IsClaimConfirmed()) {
+    co_return this->HoldsDuties();
   }
-  co_return co_await this->LookAgain();
+  co_return co_await this->RecheckClaim();
 }
 
 Task<bool>
-DutyKeeper::LookAgain()
+DutyRunner::RecheckClaim()
 {
   const TimePoint began = this->bootTime();
   const bool caughtUp = co_await this->CatchUp();
-  if (!caughtUp || !this->Holds()) {
+  if (!caughtUp || !this->HoldsDuties()) {
     co_return false;
   }
-  const bool overtaken = this->records.Claim()->fence != this->state.dutyFence;
+  const bool overtaken = this->dutyLog.Claim()->fence != this->state.dutyFence;
   if (overtaken) {
     this->StepDown("another daemon has claimed it");
     co_return false;
--- a/src/serve/DutyActs.cpp
+++ b/src/serve/DutyTasks.cpp
@@ -1,7 +1,7 @@
 // What DutyKeeper does for usage and engines while it holds the duties. How
 // they are claimed and given up stands in DutyKeeper.cpp, moves in
 // DutyMoves.cpp.
-#include "DutyKeeper.h"
+#include "DutyRunner.h"
 
 #include "EngineDemand.h"
 #include "ServingState.h"
@@ -14,33 +14,35 @@
 namespace {
 
 /** After a window's end, for the others' last words about it. */
-constexpr Millis kReportAfter{ 1500 };
+constexpr Millis kReportDelay{ 1500 };
 /** A report waits for the counts of each daemon that lives, for this part of
  * the time that it may take; the rest is for a slow cloud. */
-constexpr double kWaitsPart = 0.5;
+constexpr double kCountsWaitFraction = 0.5;
 /** The cloud answers in milliseconds, or when it is slow in some hundred. */
-constexpr Millis kCloudCallTime{ 2500 };
+constexpr Millis kCloudCallTimeout{ 2500 };
 /** Orders are reviewed this often; engines take seconds to start. */
-constexpr Millis kPlanEvery{ 500 };
+constexpr Millis kPlanInterval{ 500 };
 /** How often it is seen whether all orders of a plan are answered. */
-constexpr Millis kOrdersLook{ 25 };
-constexpr Millis kCloudConnectTime{ 800 };
+constexpr Millis kOrdersPollInterval{ 25 };
+constexpr Millis kCloudConnectTimeout{ 800 };
 constexpr unsigned kOk = 200;
 constexpr unsigned kConflict = 409;
 
 } // namespace
 
 Task<unsigned>
-DutyKeeper::CallCloud(HttpRequest aRequest)
+DutyRunner::CallCloud(HttpRequest aRequest)
 {
-  const CallTimeouts timeouts{ kCloudConnectTime,
-                               kCloudCallTime,
-                               kCloudCallTime };
+  const CallTimeouts timeouts{ kCloudConnectTimeout,
+                               kCloudCallTimeout,
+                               kCloudCallTimeout };
   this->state.metrics.Count("toucanshed_cloud_calls_total");
   // A holder that is suspended between its record and its call wakes with a
   // call at hand that another holder has overtaken. Sent all the same, it would
   // undo that one's order.
-  MaySend maySend = [this] { return this->Holds() && this->Confirmed(); };
+  PreSendCheck maySend = [this] {
+    return this->HoldsDuties() && this->IsClaimConfirmed();
+  };
   auto reply = co_await Fetch(this->state.pool.First(),
                               *this->state.settings.cloud,
                               std::move(aRequest),
@@ -62,55 +64,57 @@
 }
 
 Task<void>
-DutyKeeper::Act()
+DutyRunner::PerformDuties()
 {
   // Calls to a slow cloud take seconds each. They are sent side by side, orders
   // first: engines take seconds more to start, a report has ten.
-  if (this->state.settings.ordersEngines) {
-    co_await this->OrderEngines();
+  if (this->state.settings.scalesEngines) {
+    co_await this->ScaleEngines();
   }
-  if (this->state.settings.reportsUsage && this->Holds()) {
+  if (this->state.settings.reportsUsage && this->HoldsDuties()) {
     co_await this->ReportUsage();
   }
-  if (this->Holds()) {
-    co_await this->DecideMoves();
+  if (this->HoldsDuties()) {
+    co_await this->DecideRollouts();
   }
 }
 
 Task<void>
-DutyKeeper::ReportUsage()
+DutyRunner::ReportUsage()
 {
   const ServingBounds& bounds = this->state.settings.bounds;
-  const std::int64_t now = this->state.TrueMs();
+  const std::int64_t now = this->state.ClusterTimeMs();
   const std::uint64_t current = this->state.usage.WindowAt(now);
   // A report counts until some time after its window.
   const auto late =
-    static_cast<std::uint64_t>(bounds.usageLate / bounds.usageWindow);
+    static_cast<std::uint64_t>(bounds.usageDeadline / bounds.usageWindow);
   for (std::uint64_t window = current - late; window < current; ++window) {
-    const std::int64_t age = now - this->state.usage.EndOf(window);
-    const bool due = Millis(age) >= kReportAfter &&
-                     Millis(age) < bounds.usageLate &&
-                     !this->sent.contains(window);
-    if (due && this->Holds() && this->MayReport(window, Millis(age))) {
+    const std::int64_t age = now - this->state.usage.WindowEnd(window);
+    const bool due = Millis(age) >= kReportDelay &&
+                     Millis(age) < bounds.usageDeadline &&
+                     !this->acceptedReports.contains(window);
+    if (due && this->HoldsDuties() &&
+        this->IsReportComplete(window, Millis(age))) {
       co_await this->SendReport(window);
     }
   }
 }
 
 bool
-DutyKeeper::MayReport(std::uint64_t aWindow, Millis aAge)
+DutyRunner::IsReportComplete(std::uint64_t aWindow, Millis aAge)
 {
-  if (this->records.Reports().contains(aWindow)) {
+  if (this->dutyLog.UsageReports().contains(aWindow)) {
     return true; // its counts are decided
   }
-  const auto owing = this->state.peers.Owing(aWindow, ServingState::Now());
+  const auto owing =
+    this->state.peers.PendingDaemons(aWindow, ServingState::Now());
   if (owing.empty()) {
     return true;
   }
   const auto late =
-    static_cast<double>(this->state.settings.bounds.usageLate.count());
+    static_cast<double>(this->state.settings.bounds.usageDeadline.count());
   const bool longEnough =
-    static_cast<double>(aAge.count()) >= kWaitsPart * late;
+    static_cast<double>(aAge.count()) >= kCountsWaitFraction * late;
   if (longEnough) {
     this->state.log.Emit(Event("usage.incomplete")
                            .With("window", aWindow)
@@ -121,9 +125,9 @@
 }
 
 Task<void>
-DutyKeeper::SendReport(std::uint64_t aWindow)
+DutyRunner::SendReport(std::uint64_t aWindow)
 {
-  if (!this->records.Reports().contains(aWindow)) {
+  if (!this->dutyLog.UsageReports().contains(aWindow)) {
     std::map<TeamId, std::uint64_t> counts = this->state.peers.Usage(aWindow);
     const auto own = this->state.usage.All().find(aWindow);
     if (own != this->state.usage.All().end()) {
@@ -138,17 +142,17 @@
       entry->set_team(team.value);
       entry->set_count(count);
     }
-    const bool stands = co_await this->Record(std::move(record));
+    const bool stands = co_await this->AppendRecord(std::move(record));
     if (!stands) {
       co_return;
     }
   }
-  const bool holds = co_await this->Confirm();
+  const bool holds = co_await this->ConfirmClaim();
   if (!holds) {
     co_return;
   }
   std::map<TeamId, std::uint64_t> recorded;
-  for (const auto& entry : this->records.Reports().at(aWindow).counts()) {
+  for (const auto& entry : this->dutyLog.UsageReports().at(aWindow).counts()) {
     recorded[TeamId{ entry.team() }] = entry.count();
   }
   const Position fence = this->state.dutyFence;
@@ -159,14 +163,14 @@
                          .With("status", status)
                          .With("fence", fence.value));
   if (status == kOk) {
-    this->sent.insert(aWindow);
+    this->acceptedReports.insert(aWindow);
   } else if (status == kConflict) {
     this->StepDown("the cloud has seen a higher fence");
   }
 }
 
 void
-DutyKeeper::WatchEngines()
+DutyRunner::UpdatePlanner()
 {
   const auto catalog = this->state.catalog;
   if (catalog == nullptr || !this->state.backendsRead) {
@@ -174,75 +178,82 @@
   }
   for (const auto& [id, service] : catalog->services) {
     if (service.scale) {
-      this->planner.Watch(id,
-                          this->state.backends,
-                          this->state.moves.Find(id),
-                          ServingState::Now());
+      this->planner.Observe(id,
+                            this->state.backends,
+                            this->state.rollouts.Find(id),
+                            ServingState::Now());
     }
   }
 }
 
 Task<void>
-DutyKeeper::OrderEngines()
+DutyRunner::ScaleEngines()
 {
   const TimePoint now = ServingState::Now();
   const auto catalog = this->state.catalog;
-  if (catalog == nullptr || !this->state.backendsRead || now < this->planAt) {
+  if (catalog == nullptr || !this->state.backendsRead ||
+      now < this->nextPlanAt) {
     co_return;
   }
-  this->planAt = now + kPlanEvery;
+  this->nextPlanAt = now + kPlanInterval;
   for (const auto& [id, service] : catalog->services) {
     if (!service.scale || !service.engine) {
       continue;
     }
-    const double needed = this->Needed(service, now);
-    this->planner.SetLost(id, EnginesLostToNeed(this->state, id, now));
-    const std::vector<GroupOrder> orders = this->planner.Plan(
-      service, needed, this->state.backends, this->state.moves.Find(id), now);
-    if (!orders.empty() && this->Holds()) {
-      co_await this->SendOrders(orders, needed);
+    const double needed = this->RecentPeakDemand(service, now);
+    this->planner.SetLostEngines(id,
+                                 EnginesLostToRateLimits(this->state, id, now));
+    const std::vector<GroupTarget> orders =
+      this->planner.Plan(service,
+                         needed,
+                         this->state.backends,
+                         this->state.rollouts.Find(id),
+                         now);
+    if (!orders.empty() && this->HoldsDuties()) {
+      co_await this->RecordAndSendOrders(orders, needed);
     }
   }
-  while (this->ordersSent > 0) {
-    co_await Sleep(kOrdersLook);
+  while (this->pendingOrders > 0) {
+    co_await Sleep(kOrdersPollInterval);
   }
 }
 
 double
-DutyKeeper::Needed(const ServiceSpec& aService, TimePoint aNow)
+DutyRunner::RecentPeakDemand(const ServiceSpec& aService, TimePoint aNow)
 {
-  const double needed = EnginesNeeded(this->state, aService, aNow).Most();
-  HighestLately& lately =
-    this->highest.try_emplace(aService.id, ScalePlanner::kRemembered)
+  const double needed = RequiredEnginesNow(this->state, aService, aNow).Max();
+  RecentMax& lately =
+    this->peakDemand.try_emplace(aService.id, ScalePlanner::kDemandWindow)
       .first->second;
   lately.Add(needed, aNow);
   return lately.Value();
 }
 
 Task<void>
-DutyKeeper::SendOrders(std::vector<GroupOrder> aOrders, double aNeeded)
+DutyRunner::RecordAndSendOrders(std::vector<GroupTarget> aOrders,
+                                double aNeeded)
 {
   serving::DutyRecord record;
-  for (const GroupOrder& order : aOrders) {
+  for (const GroupTarget& order : aOrders) {
     serving::ScaleDecision* decision = record.add_scale();
     decision->set_service(order.group.service.value);
     decision->set_zone(order.group.zone.value);
     decision->set_desired(order.desired);
     decision->set_reclaimable(order.group.reclaimable);
   }
-  const bool stands = co_await this->Record(std::move(record));
+  const bool stands = co_await this->AppendRecord(std::move(record));
   if (!stands) {
     co_return;
   }
   Worker& worker = this->state.pool.First();
-  for (const GroupOrder& order : aOrders) {
-    ++this->ordersSent;
-    worker.Spawn(this->AwaitOrder(order, this->state.dutyFence, aNeeded));
+  for (const GroupTarget& order : aOrders) {
+    ++this->pendingOrders;
+    worker.Spawn(this->SendOrder(order, this->state.dutyFence, aNeeded));
   }
 }
 
 Task<void>
-DutyKeeper::AwaitOrder(GroupOrder aOrder, Position aFence, double aNeeded)
+DutyRunner::SendOrder(GroupTarget aOrder, Position aFence, double aNeeded)
 {
   const EngineGroup& group = aOrder.group;
   const ScaleOrder order{
@@ -250,7 +261,7 @@
   };
   const unsigned status = co_await this->CallCloud(
     this->state.wire.cloud.scale(this->state.settings.id, aFence, order));
-  --this->ordersSent;
+  --this->pendingOrders;
   this->state.log.Emit(
     Event("engines.ordered")
       .With("service", group.service)
@@ -262,9 +273,9 @@
       .With("fence", aFence.value));
   const TimePoint now = ServingState::Now();
   if (status == kOk) {
-    this->planner.Accepted(aOrder, now);
+    this->planner.RecordAccepted(aOrder, now);
   } else {
-    this->planner.Refused(aOrder, now);
+    this->planner.RecordRefused(aOrder, now);
   }
 }
 
--- a/src/serve/EngineDemand.cpp
+++ b/src/serve/EngineDemand.cpp
@@ -5,33 +5,35 @@
 
 namespace toucanshed {
 
-EngineNeed
-EnginesNeeded(ServingState& aState, const ServiceSpec& aService, TimePoint aNow)
+RequiredEngines
+RequiredEnginesNow(ServingState& aState,
+                   const ServiceSpec& aService,
+                   TimePoint aNow)
 {
   if (!aService.engine) {
-    return EngineNeed{};
+    return RequiredEngines{};
   }
   ServiceDemand demand;
   demand.promptTokensPerS = aState.promptRates[aService.id].At(aNow) +
                             aState.peers.PromptRate(aService.id, aNow);
-  for (const Backend* backend : aState.backends.Of(aService.id)) {
-    demand.running += static_cast<double>(backend->Running());
+  for (const Backend* backend : aState.backends.ForService(aService.id)) {
+    demand.runningRequests += static_cast<double>(backend->TotalRunning());
   }
   const auto placer = aState.placers.find(aService.id);
   if (placer != aState.placers.end()) {
-    demand.promptTokensPerMs = placer->second.Speed().promptTokensPerMs;
+    demand.prefillTokensPerMs = placer->second.Speed().promptTokensPerMs;
   }
-  return ScalePlanner::NeedOf(demand, *aService.engine);
+  return ScalePlanner::RequiredFor(demand, *aService.engine);
 }
 
 double
-EnginesLostToNeed(ServingState& aState,
-                  const ServiceId& aService,
-                  TimePoint aNow)
+EnginesLostToRateLimits(ServingState& aState,
+                        const ServiceId& aService,
+                        TimePoint aNow)
 {
   std::vector<RequestRate> named;
   std::size_t engines = 0;
-  for (const Backend* backend : aState.backends.Of(aService)) {
+  for (const Backend* backend : aState.backends.ForService(aService)) {
     if (backend->leaving) {
       continue;
     }
@@ -43,10 +45,10 @@
   if (named.empty()) {
     return 0;
   }
-  const double own = aState.retries.RequestsLately(aService, aNow).perS;
-  const auto daemons = static_cast<double>(aState.Daemons());
+  const double own = aState.retries.RecentRequestRate(aService, aNow).perSecond;
+  const auto daemons = static_cast<double>(aState.DaemonCount());
   const RequestRate usual{ own * daemons / static_cast<double>(engines) };
-  return ScalePlanner::LostToNeed(named, usual);
+  return ScalePlanner::LostToRateLimits(named, usual);
 }
 
 } // namespace toucanshed
--- a/src/serve/EngineDemand.h
+++ b/src/serve/EngineDemand.h
@@ -7,23 +7,23 @@
 
 namespace toucanshed {
 
-struct EngineNeed;
+struct RequiredEngines;
 struct ServiceSpec;
 struct ServingState;
 
 /** Engines that bear what callers ask of a service at all daemons. None for a
  * service of which nothing is known that would tell.
  * Thread safety: called on the worker that owns aState. */
-EngineNeed
-EnginesNeeded(ServingState& aState,
-              const ServiceSpec& aService,
-              TimePoint aNow);
+RequiredEngines
+RequiredEnginesNow(ServingState& aState,
+                   const ServiceSpec& aService,
+                   TimePoint aNow);
 
 /** Engines of the service whose work others must do, as they are in need.
  * Thread safety: as above. */
 double
-EnginesLostToNeed(ServingState& aState,
-                  const ServiceId& aService,
-                  TimePoint aNow);
+EnginesLostToRateLimits(ServingState& aState,
+                        const ServiceId& aService,
+                        TimePoint aNow);
 
 } // namespace toucanshed
--- a/src/serve/OwnAnswers.cpp
+++ b/src/serve/LocalResponses.cpp
@@ -1,4 +1,4 @@
-#include "OwnAnswers.h"
+#include "LocalResponses.h"
 
 #include "ServingState.h"
 
@@ -13,21 +13,22 @@
 
 /** First and longest wait of a refused caller. A place frees within some
  * hundred ms, the time that a short answer takes. */
-constexpr Millis kSoonest{ 150 };
-constexpr Millis kSpread{ 600 };
+constexpr Millis kMinRetryDelay{ 150 };
+constexpr Millis kRetryDelayJitter{ 600 };
 
 } // namespace
 
-HttpReply
-OwnAnswer(const ServingState& aState,
-          const AttemptId& aAttempt,
-          unsigned aStatus,
-          const std::string& aReason,
-          std::optional<Millis> aComeBack)
+HttpResponse
+MakeLocalResponse(const ServingState& aState,
+                  const AttemptId& aAttempt,
+                  unsigned aStatus,
+                  const std::string& aReason,
+                  std::optional<Millis> aComeBack)
 {
   const boost::json::object body{ { "error", aReason },
                                   { "request", aAttempt.value } };
-  HttpReply reply = MakeReply(aStatus, boost::json::serialize(body) + "\n");
+  HttpResponse reply =
+    MakeResponse(aStatus, boost::json::serialize(body) + "\n");
   if (aComeBack) {
     constexpr double kMillis = 1000;
     std::array<char, 32> text{};
@@ -37,18 +38,18 @@
                   static_cast<double>(aComeBack->count()) / kMillis);
     reply.set(http::field::retry_after, text.data());
   }
-  aState.wire.callers.complete(aAttempt, reply);
+  aState.wire.callers.completeLocalResponse(aAttempt, reply);
   return reply;
 }
 
 Millis
-ComeBackAfter(ServingState& aState, Millis aLeft)
+RetryDelayFor(ServingState& aState, Millis aLeft)
 {
   constexpr int kUsedPart = 4; // a little less than the third that is waited
-  const auto spread = Millis(static_cast<std::int64_t>(
-    aState.random.Below(static_cast<std::uint64_t>(kSpread.count()))));
+  const auto spread = Millis(static_cast<std::int64_t>(aState.random.NextBelow(
+    static_cast<std::uint64_t>(kRetryDelayJitter.count()))));
   const Millis most = std::max(Millis(1), aLeft / kUsedPart);
-  return std::min(kSoonest + spread, most);
+  return std::min(kMinRetryDelay + spread, most);
 }
 
 } // namespace toucanshed
--- a/src/serve/OwnAnswers.h
+++ b/src/serve/LocalResponses.h
@@ -16,17 +16,17 @@
 /** An answer with a reason for a person.
  * \param aComeBack when the caller may try again; only where the request has
  *   not run. */
-HttpReply
-OwnAnswer(const ServingState& aState,
-          const AttemptId& aAttempt,
-          unsigned aStatus,
-          const std::string& aReason,
-          std::optional<Millis> aComeBack);
+HttpResponse
+MakeLocalResponse(const ServingState& aState,
+                  const AttemptId& aAttempt,
+                  unsigned aStatus,
+                  const std::string& aReason,
+                  std::optional<Millis> aComeBack);
 
 /** When a refused caller should come back. Spread at random, so that callers
  * that were refused together do not return together and are refused again;
  * within a third of the time it has left, since callers wait no longer. */
 Millis
-ComeBackAfter(ServingState& aState, Millis aLeft);
+RetryDelayFor(ServingState& aState, Millis aLeft);
 
 } // namespace toucanshed
--- a/src/serve/OperatorRecords.cpp
+++ b/src/serve/OperatorRecords.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 void
-LogLimits(ServingState& aState, const Catalog& aCatalog)
+LogTeamLimits(ServingState& aState, const Catalog& aCatalog)
 {
   for (const Team& team : aCatalog.teams) {
     const auto known = aState.catalog == nullptr
@@ -28,7 +28,7 @@
 }
 
 void
-TakeCatalog(ServingState& aState, const KeyedRecord& aRecord)
+ApplyCatalog(ServingState& aState, const KeyedRecord& aRecord)
 {
   auto parsed = aState.wire.records.catalog(*aRecord.value);
   if (!parsed) {
@@ -44,7 +44,7 @@
   if (older) {
     return;
   }
-  LogLimits(aState, *parsed);
+  LogTeamLimits(aState, *parsed);
   aState.quotas.Configure(*parsed, ServingState::Now());
   aState.catalog = std::make_shared<const Catalog>(std::move(*parsed));
   aState.log.Emit(Event("catalog.in_force")
@@ -57,26 +57,26 @@
 } // namespace
 
 void
-TakeOperatorRecord(ServingState& aState, const KeyedRecord& aRecord)
+ApplyOperatorRecord(ServingState& aState, const KeyedRecord& aRecord)
 {
   if (!aRecord.value) {
     return;
   }
   if (aState.wire.records.isCatalogKey(aRecord.key)) {
-    TakeCatalog(aState, aRecord);
+    ApplyCatalog(aState, aRecord);
     return;
   }
-  if (!aState.wire.records.isMoveKey(aRecord.key)) {
+  if (!aState.wire.records.isRolloutKey(aRecord.key)) {
     return;
   }
-  auto order = aState.wire.records.moveOrder(*aRecord.value);
+  auto order = aState.wire.records.rolloutOrder(*aRecord.value);
   if (!order) {
     aState.log.Emit(
       Event("move.unreadable").With("reason", order.error().message));
     return;
   }
   order->position = aRecord.position;
-  aState.moves.Ordered(*order, ServingState::Now());
+  aState.rollouts.Start(*order, ServingState::Now());
   aState.log.Emit(Event("move.ordered")
                     .With("service", order->service)
                     .With("target", order->target)
--- a/src/serve/OperatorRecords.h
+++ b/src/serve/OperatorRecords.h
@@ -12,6 +12,6 @@
  * configuration than the one in force changes nothing. Thread safety: belongs
  * to the worker. */
 void
-TakeOperatorRecord(ServingState& aState, const KeyedRecord& aRecord);
+ApplyOperatorRecord(ServingState& aState, const KeyedRecord& aRecord);
 
 } // namespace toucanshed
--- a/src/serve/PeerWords.cpp
+++ b/src/serve/PeerReports.cpp
@@ -1,4 +1,4 @@
-#include "PeerWords.h"
+#include "PeerReports.h"
 
 #include "ServingState.h"
 
@@ -7,19 +7,19 @@
 namespace {
 
 void
-AddBackends(const ServingState& aState, serving::DaemonWord& aWord)
+AddBackends(const ServingState& aState, serving::DaemonHeartbeat& aWord)
 {
   for (const auto& [id, backend] : aState.backends.All()) {
     // That the list says so too, the others know from the list.
     const bool leaves = backend.leaving && !backend.entry.leaving;
-    const bool news = backend.own != BackendLoad{} || leaves;
+    const bool news = backend.localLoad != BackendLoad{} || leaves;
     if (!news) {
       continue;
     }
     auto* entry = aWord.add_backends();
     entry->set_id(id.value);
-    entry->set_running(backend.own.running);
-    entry->set_prompt_tokens(backend.own.promptTokens);
+    entry->set_running(backend.localLoad.running);
+    entry->set_prompt_tokens(backend.localLoad.promptTokens);
     entry->set_leaving(leaves);
   }
 }
@@ -27,7 +27,7 @@
 void
 AddUsage(const ServingState& aState,
          std::uint64_t aWindow,
-         serving::LedgerWord& aLedger)
+         serving::UsageLedger& aLedger)
 {
   const auto counts = aState.usage.All().find(aWindow);
   if (counts == aState.usage.All().end()) {
@@ -42,9 +42,9 @@
 }
 
 void
-AddCopy(const QuotaCopy& aCopy, serving::QuotaWord& aWord)
+AddTeamQuota(const QuotaState& aCopy, serving::QuotaReport& aWord)
 {
-  serving::TeamWord* entry = aWord.add_teams();
+  serving::TeamQuotaState* entry = aWord.add_teams();
   entry->set_team(aCopy.team.value);
   entry->set_taken(aCopy.taken);
   entry->set_settled(aCopy.level.has_value());
@@ -52,31 +52,33 @@
 }
 
 void
-AddLimit(const LimitNews& aNews, TimePoint aNow, serving::LimitWord& aWord)
+AddLimit(const LimitUpdate& aNews,
+         TimePoint aNow,
+         serving::RateLimitState& aWord)
 {
   aWord.set_backend(aNews.engine.value);
-  aWord.set_born(aNews.born);
-  aWord.set_per_s(aNews.rate.perS);
+  aWord.set_born(aNews.incarnation);
+  aWord.set_per_s(aNews.rate.perSecond);
   aWord.set_ended(aNews.ended);
   aWord.set_age_ms(static_cast<std::uint64_t>((aNow - aNews.asOf).count()));
 }
 
-serving::LedgerWord
-LedgerHead(const ServingState& aState)
+serving::UsageLedger
+NewLedger(const ServingState& aState)
 {
-  serving::LedgerWord ledger;
+  serving::UsageLedger ledger;
   ledger.set_id(aState.settings.id.value);
-  ledger.set_life(aState.life);
-  ledger.set_open_window(aState.usage.WindowAt(aState.TrueMs()));
+  ledger.set_life(aState.incarnation);
+  ledger.set_open_window(aState.usage.WindowAt(aState.ClusterTimeMs()));
   return ledger;
 }
 
-serving::QuotaWord
-QuotaHead(const ServingState& aState)
+serving::QuotaReport
+NewQuotaReport(const ServingState& aState)
 {
-  serving::QuotaWord word;
+  serving::QuotaReport word;
   word.set_id(aState.settings.id.value);
-  word.set_life(aState.life);
+  word.set_life(aState.incarnation);
   word.set_address(PeerAddress(aState));
   return word;
 }
@@ -90,78 +92,79 @@
          std::to_string(aState.settings.peerPort);
 }
 
-serving::LedgerWord
-ReportableLedger(const ServingState& aState)
+serving::UsageLedger
+MakeReportableLedger(const ServingState& aState)
 {
-  serving::LedgerWord ledger = LedgerHead(aState);
+  serving::UsageLedger ledger = NewLedger(aState);
   const std::int64_t reportable =
-    aState.TrueMs() - aState.settings.bounds.usageLate.count();
+    aState.ClusterTimeMs() - aState.settings.bounds.usageDeadline.count();
   for (const auto& [window, counts] : aState.usage.All()) {
-    if (aState.usage.EndOf(window) >= reportable) {
+    if (aState.usage.WindowEnd(window) >= reportable) {
       AddUsage(aState, window, ledger);
     }
   }
   return ledger;
 }
 
-serving::LedgerWord
-LedgerOfWindow(const ServingState& aState, std::uint64_t aWindow)
+serving::UsageLedger
+MakeWindowLedger(const ServingState& aState, std::uint64_t aWindow)
 {
-  serving::LedgerWord ledger = LedgerHead(aState);
+  serving::UsageLedger ledger = NewLedger(aState);
   AddUsage(aState, aWindow, ledger);
   return ledger;
 }
 
-serving::QuotaWord
-QuotaOfAll(const ServingState& aState)
+serving::QuotaReport
+MakeQuotaReport(const ServingState& aState)
 {
-  serving::QuotaWord word = QuotaHead(aState);
-  for (const QuotaCopy& copy : aState.quotas.Copies(ServingState::Now())) {
-    AddCopy(copy, word);
+  serving::QuotaReport word = NewQuotaReport(aState);
+  for (const QuotaState& copy :
+       aState.quotas.BucketStates(ServingState::Now())) {
+    AddTeamQuota(copy, word);
   }
   return word;
 }
 
-serving::QuotaWord
-QuotaOfTeam(ServingState& aState, const TeamId& aTeam)
+serving::QuotaReport
+MakeTeamQuotaReport(ServingState& aState, const TeamId& aTeam)
 {
-  serving::QuotaWord word = QuotaHead(aState);
-  AddCopy(aState.quotas.Tell(aTeam, ServingState::Now()), word);
+  serving::QuotaReport word = NewQuotaReport(aState);
+  AddTeamQuota(aState.quotas.TakeReport(aTeam, ServingState::Now()), word);
   return word;
 }
 
-serving::LimitsWord
-UrgentLimits(ServingState& aState)
+serving::RateLimitReport
+TakeUrgentLimits(ServingState& aState)
 {
-  serving::LimitsWord word;
+  serving::RateLimitReport word;
   word.set_id(aState.settings.id.value);
-  for (const LimitNews& news : aState.engineLimits.TakeUrgent()) {
+  for (const LimitUpdate& news : aState.engineLimits.TakeUrgentUpdates()) {
     AddLimit(news, ServingState::Now(), *word.add_limits());
   }
   return word;
 }
 
-serving::DaemonWord
-WordOf(ServingState& aState, std::uint64_t aSequence)
+serving::DaemonHeartbeat
+MakeHeartbeat(ServingState& aState, std::uint64_t aSequence)
 {
   const TimePoint now = ServingState::Now();
-  serving::DaemonWord word;
+  serving::DaemonHeartbeat word;
   word.set_id(aState.settings.id.value);
-  word.set_life(aState.life);
+  word.set_life(aState.incarnation);
   word.set_sequence(aSequence);
   word.set_zone(aState.settings.zone.value);
   word.set_address(PeerAddress(aState));
   word.set_wall_ms(ServingState::WallMs());
   word.set_stopping(aState.stopping);
-  word.set_store_lost(aState.storeLost.has_value());
+  word.set_store_lost(aState.storeLostSince.has_value());
   word.set_duty_fence(aState.dutyFence.value);
-  word.set_duty_end(aState.dutyEnd.value);
+  word.set_duty_end(aState.dutyLogEnd.value);
   if (aState.catalog != nullptr) {
     word.set_catalog_version(aState.catalog->version);
   }
   AddBackends(aState, word);
-  *word.mutable_quota() = QuotaOfAll(aState);
-  for (const LimitNews& news : aState.engineLimits.TakeForWord()) {
+  *word.mutable_quota() = MakeQuotaReport(aState);
+  for (const LimitUpdate& news : aState.engineLimits.TakeHeartbeatUpdates()) {
     AddLimit(news, now, *word.add_limits());
   }
   for (const auto& [service, meter] : aState.promptRates) {
@@ -169,7 +172,7 @@
     entry->set_service(service.value);
     entry->set_prompt_tokens_per_s(meter.At(now));
   }
-  const std::size_t daemons = aState.Daemons();
+  const std::size_t daemons = aState.DaemonCount();
   for (const FactEntry& fact : aState.facts.TakeForGossip(daemons)) {
     auto* entry = word.add_facts();
     entry->set_key(fact.key);
--- a/src/serve/PeerWords.h
+++ b/src/serve/PeerReports.h
@@ -21,27 +21,27 @@
 
 /** The regular word.
  * \param aSequence larger than that of this life's word before it */
-serving::DaemonWord
-WordOf(ServingState& aState, std::uint64_t aSequence);
+serving::DaemonHeartbeat
+MakeHeartbeat(ServingState& aState, std::uint64_t aSequence);
 
 /** The counts of all windows that can still be reported. A holder that has just
  * started again hears so of those before its start. */
-serving::LedgerWord
-ReportableLedger(const ServingState& aState);
+serving::UsageLedger
+MakeReportableLedger(const ServingState& aState);
 /** The counts of one window. */
-serving::LedgerWord
-LedgerOfWindow(const ServingState& aState, std::uint64_t aWindow);
+serving::UsageLedger
+MakeWindowLedger(const ServingState& aState, std::uint64_t aWindow);
 
 /** Limits of engines in need that the others must hear at once; they count as
  * told from here on. */
-serving::LimitsWord
-UrgentLimits(ServingState& aState);
+serving::RateLimitReport
+TakeUrgentLimits(ServingState& aState);
 
 /** How the limits of all teams are used here. */
-serving::QuotaWord
-QuotaOfAll(const ServingState& aState);
+serving::QuotaReport
+MakeQuotaReport(const ServingState& aState);
 /** The same of one team, which counts as told from here on. */
-serving::QuotaWord
-QuotaOfTeam(ServingState& aState, const TeamId& aTeam);
+serving::QuotaReport
+MakeTeamQuotaReport(ServingState& aState, const TeamId& aTeam);
 
 } // namespace toucanshed
--- /dev/null
+++ b/src/serve/RequestForwarder.cpp
@@ -0,0 +1,500 @@
+#include "RequestForwarder.h"
+
+#include "BackendLoadGuard.h"
+#include "CrashProbe.h"
+#include "LocalResponses.h"
+#include "ServingState.h"
+#include "coord/SuspectTable.h"
+#include "edge/Worker.h"
+
+namespace toucanshed {
+
+namespace {
+
+constexpr unsigned kOk = 200;
+constexpr unsigned kBadGateway = 502;
+constexpr unsigned kServiceUnavailable = 503;
+constexpr unsigned kGatewayTimeout = 504;
+/** Sends of one request, those that back ends turned away with them. More
+ * would hold the caller longer than coming back takes. */
+constexpr unsigned kMaxSends = 4;
+/** Time to open a connection; in one region it takes a millisecond, and a lost
+ * first packet is sent again after a second. */
+constexpr Millis kConnectTimeout{ 350 };
+/** What is left must suffice for a back end to begin; a send with less would
+ * only take its time. */
+constexpr Millis kMinTimeLeft{ 20 };
+/** A request that may run elsewhere is not waited for beyond so many times its
+ * target: by then the back end hangs more often than it is slow. */
+constexpr double kAttemptTimeoutTargets = 2.5;
+constexpr Millis kMinAttemptTimeout{ 700 };
+
+const char*
+NameOf(SendOutcome aOutcome)
+{
+  switch (aOutcome) {
+    case SendOutcome::eAnswered:
+      return "answered";
+    case SendOutcome::eNotRun:
+      return "not_run";
+    case SendOutcome::eMayHaveRun:
+      return "may_have_run";
+    case SendOutcome::eDeadlineExceeded:
+      return "late";
+    case SendOutcome::eCallerDisconnected:
+      return "caller_gone";
+  }
+  return "";
+}
+
+} // namespace
+
+RequestForwarder::RequestForwarder(ServingState& aState,
+                                   ServingRequest aRequest,
+                                   HttpResponder& aResponder)
+  : state(aState)
+  , request(std::move(aRequest))
+  , responder(aResponder)
+  , splitter(request.incoming.resumeAfter)
+{
+}
+
+Millis
+RequestForwarder::TimeLeft() const
+{
+  return this->request.deadline - ServingState::Now();
+}
+
+Millis
+RequestForwarder::AttemptTimeout() const
+{
+  const Millis left = this->TimeLeft();
+  if (!IsRetrySafe(this->request.route->kind)) {
+    return left;
+  }
+  const auto targets = Millis(static_cast<std::int64_t>(
+    kAttemptTimeoutTargets *
+    static_cast<double>(this->request.route->latencyTarget.count())));
+  return std::min(left, std::max(targets, kMinAttemptTimeout));
+}
+
+Placer&
+RequestForwarder::ServicePlacer()
+{
+  const ServiceId& service = this->request.service;
+  return this->state.placers.try_emplace(service, this->state.settings.zone)
+    .first->second;
+}
+
+std::optional<Placement>
+RequestForwarder::ChooseBackend()
+{
+  PlacementRequest wanted;
+  wanted.prompt = this->request.incoming.prompt;
+  wanted.triedBackends = this->triedBackends;
+  wanted.cachedBackends = this->state.prefixCacheIndex.CachedBackends(
+    SharedSectionId(wanted.prompt), ServingState::Now());
+  const ServiceSpec* spec =
+    this->request.catalog->FindService(this->request.service);
+  const EngineTraits* traits =
+    spec != nullptr && spec->engine ? &*spec->engine : nullptr;
+  const TimePoint now = ServingState::Now();
+  std::vector<Backend*> backends =
+    this->state.backends.ForService(this->request.service);
+  std::erase_if(backends, [&](const Backend* aBackend) {
+    return !this->state.rollouts.MayUse(this->request.service,
+                                        aBackend->entry.version,
+                                        this->request.incoming.attempt,
+                                        now);
+  });
+  this->ExcludeRateLimited(backends, wanted.rateLimited, now);
+  return this->ServicePlacer().Choose(backends, wanted, traits, now);
+}
+
+void
+RequestForwarder::ExcludeRateLimited(std::vector<Backend*>& aBackends,
+                                     std::set<InstanceId>& aHaveRoom,
+                                     TimePoint aNow)
+{
+  this->rateLimitWait.reset();
+  EngineLimits& limits = this->state.engineLimits;
+  if (limits.Empty()) {
+    return;
+  }
+  std::erase_if(aBackends, [&](const Backend* aBackend) {
+    const InstanceId& id = aBackend->entry.id;
+    const LimitDecision use = limits.Check(id, aNow);
+    if (use == LimitDecision::eAllowed) {
+      aHaveRoom.insert(id);
+    }
+    if (use != LimitDecision::eExhausted) {
+      return false;
+    }
+    const Millis wait = limits.RetryDelay(id, aNow);
+    this->rateLimitWait = std::min(this->rateLimitWait.value_or(wait), wait);
+    return true;
+  });
+}
+
+DeferralDecision
+RequestForwarder::DecideDeferral(const Placement& aPlacement)
+{
+  const bool readsPrompt = !this->request.incoming.prompt.empty();
+  if (!readsPrompt || this->sends > 0) {
+    return DeferralDecision::eSend; // it has stood back before its first send
+  }
+  const double reading = static_cast<double>(aPlacement.uncachedTokens) /
+                         this->ServicePlacer().Speed().promptTokensPerMs;
+  return DeferralPolicy::Decide(
+    DeferralInput{ ServingState::Now() - this->request.arrived,
+                   this->request.route->latencyTarget,
+                   this->TimeLeft(),
+                   aPlacement.expectedMs,
+                   reading,
+                   aPlacement.queuedTokens == 0 });
+}
+
+bool
+RequestForwarder::TakeSendAttempt()
+{
+  if (this->sends == 0) {
+    return true;
+  }
+  const bool repeatable =
+    !this->mayHaveRun ||
+    (IsRetrySafe(this->request.route->kind) &&
+     this->possibleRuns < this->request.route->maxBackends);
+  if (!repeatable || this->sends >= kMaxSends) {
+    return false;
+  }
+  const bool suspect =
+    SuspectTable::LevelOf(this->state.facts, this->request.fingerprint) !=
+    SuspectLevel::eClear;
+  // A request that was running on an engine as it crashed is left to its
+  // caller: sent on at once it would take the next engine down as well.
+  if (this->mayHaveRun && suspect) {
+    return false;
+  }
+  return this->state.retries.TryTakeRetry(
+    this->request.service,
+    this->state.limitShares.KnownDaemons(),
+    ServingState::Now());
+}
+
+Task<void>
+RequestForwarder::Run()
+{
+  this->responder.NotifyOnDisconnect(
+    [handle = this->abort] { handle->Abort(); });
+  this->state.retries.RecordRequest(this->request.service, ServingState::Now());
+  SendOutcome last = SendOutcome::eNotRun;
+  while (true) {
+    if (this->abort->Aborted()) {
+      this->LogEnd(0, "caller left");
+      co_return;
+    }
+    if (this->TimeLeft() < kMinTimeLeft) {
+      last = SendOutcome::eDeadlineExceeded;
+      break;
+    }
+    const auto placement = this->ChooseBackend();
+    if (!placement) {
+      if (this->lastFailure.empty()) {
+        this->lastFailure =
+          this->rateLimitWait ? "engines in need take no more" : "no back end";
+      }
+      break;
+    }
+    const bool tooFull = placement->atCapacity && this->sends == 0;
+    if (tooFull) {
+      this->lastFailure = "all back ends are full";
+      break;
+    }
+    const DeferralDecision advice = this->DecideDeferral(*placement);
+    if (advice == DeferralDecision::eDefer) {
+      co_await Sleep(DeferralPolicy::kPollInterval);
+      this->deferredFor += DeferralPolicy::kPollInterval;
+      continue;
+    }
+    if (advice == DeferralDecision::eReject) {
+      this->lastFailure = "engines have too much to read";
+      break;
+    }
+    if (!this->TakeSendAttempt()) {
+      break;
+    }
+    last = co_await this->SendToBackend(*placement);
+    if (last == SendOutcome::eAnswered) {
+      co_return;
+    }
+    if (last == SendOutcome::eCallerDisconnected) {
+      this->LogEnd(0, "caller left");
+      co_return;
+    }
+    if (last == SendOutcome::eDeadlineExceeded) {
+      break;
+    }
+    this->triedBackends.insert(placement->backend);
+  }
+  co_await this->EndWithoutAnswer(last);
+}
+
+SendOutcome
+RequestForwarder::ClassifyError(const CallError& aError)
+{
+  if (this->abort->Aborted()) {
+    return SendOutcome::eCallerDisconnected;
+  }
+  if (aError.phase == CallPhase::eConnect) {
+    return SendOutcome::eNotRun;
+  }
+  return this->TimeLeft() < kMinTimeLeft ? SendOutcome::eDeadlineExceeded
+                                         : SendOutcome::eMayHaveRun;
+}
+
+bool
+RequestForwarder::ConfirmSend(const InstanceId& aBackend)
+{
+  const TimePoint now = ServingState::Now();
+  const Backend* backend = this->state.backends.Find(aBackend);
+  if (backend == nullptr || backend->leaving || backend->GraceExpired(now)) {
+    this->lastFailure = "the back end left before the send";
+    return false;
+  }
+  if (this->limitUse == LimitDecision::eUnlimited) {
+    this->limitUse = this->state.engineLimits.TryAcquire(aBackend, now);
+  }
+  if (this->limitUse == LimitDecision::eExhausted) {
+    this->lastFailure = "the back end named a limit before the send";
+    return false;
+  }
+  return true;
+}
+
+Task<SendOutcome>
+RequestForwarder::SendToBackend(Placement aPlacement)
+{
+  const Backend* backend = this->state.backends.Find(aPlacement.backend);
+  const auto endpoint = ParseEndpoint(backend->entry.address);
+  if (!endpoint) {
+    this->lastFailure = "address of the back end cannot be read";
+    co_return SendOutcome::eNotRun;
+  }
+  ++this->sends;
+  this->limitUse = this->state.engineLimits.TryAcquire(aPlacement.backend,
+                                                       ServingState::Now());
+  this->lastPlacement = aPlacement;
+  this->sentAt = ServingState::Now();
+  this->responseStarted = false;
+  this->responseFailed = false;
+  SendContext plan;
+  plan.backend = aPlacement.backend;
+  plan.timeLeft = this->TimeLeft();
+  plan.team = this->request.team != nullptr ? this->request.team->id : TeamId{};
+  plan.priority = std::clamp(this->request.Priority() + 1, 0, 9);
+  plan.resumeAfter = this->splitter.LastId();
+  HttpRequest message =
+    this->state.wire.backends.write(this->request.incoming, plan);
+  const CallTimeouts timeouts{ std::min(kConnectTimeout, this->TimeLeft()),
+                               this->AttemptTimeout(),
+                               this->AttemptTimeout() };
+  BackendLoadGuard current(this->state.backends,
+                           aPlacement.backend,
+                           static_cast<std::int64_t>(aPlacement.uncachedTokens),
+                           this->sentAt);
+  this->loadGuard = &current;
+  const std::string part = SharedSectionId(this->request.incoming.prompt);
+  this->state.prefixCacheIndex.RecordUse(
+    part, aPlacement.backend, this->sentAt);
+  this->state.sendPromptNotice(
+    aPlacement.backend,
+    static_cast<std::int64_t>(aPlacement.uncachedTokens),
+    part);
+  this->state.promptRates[this->request.service].Add(
+    static_cast<double>(aPlacement.uncachedTokens), this->sentAt);
+  bool confirmed = true;
+  PreSendCheck confirm = [this, &confirmed, id = aPlacement.backend] {
+    confirmed = this->ConfirmSend(id);
+    return confirmed;
+  };
+  auto exchange = co_await HttpExchange::Open(this->state.pool.First(),
+                                              *endpoint,
+                                              std::move(message),
+                                              timeouts,
+                                              false,
+                                              this->abort,
+                                              std::move(confirm));
+  SendOutcome outcome = SendOutcome::eNotRun;
+  if (exchange) {
+    outcome = co_await this->Relay(*exchange, aPlacement);
+    exchange->CloseConnection();
+  } else {
+    outcome = this->ClassifyError(exchange.error());
+    this->lastFailure =
+      confirmed ? exchange.error().message : this->lastFailure;
+  }
+  if (outcome == SendOutcome::eMayHaveRun ||
+      outcome == SendOutcome::eDeadlineExceeded) {
+    this->mayHaveRun = true;
+    ++this->possibleRuns;
+  }
+  this->loadGuard = nullptr;
+  if (outcome == SendOutcome::eMayHaveRun) {
+    this->state.pool.First().Spawn(RecordIfCrashed(
+      this->state, aPlacement.backend, this->request.fingerprint));
+  }
+  this->RecordEvidence(aPlacement.backend, outcome);
+  const bool unreached =
+    !exchange && confirmed && outcome == SendOutcome::eNotRun;
+  const bool failed = outcome == SendOutcome::eMayHaveRun || unreached;
+  if (failed) {
+    this->state.backends.RecordFailure(aPlacement.backend, ServingState::Now());
+  }
+  this->LogSend(aPlacement, outcome, this->lastFailure);
+  co_return outcome;
+}
+
+void
+RequestForwarder::RecordEvidence(const InstanceId& aBackend,
+                                 SendOutcome aOutcome)
+{
+  const Rollout* move = this->state.rollouts.Find(this->request.service);
+  const Backend* backend = this->state.backends.Find(aBackend);
+  const bool counts = move != nullptr && move->phase == RolloutPhase::eActive &&
+                      backend != nullptr && aOutcome != SendOutcome::eNotRun &&
+                      aOutcome != SendOutcome::eCallerDisconnected;
+  if (!counts) {
+    return;
+  }
+  Observation seen;
+  seen.error = aOutcome != SendOutcome::eAnswered || this->responseFailed;
+  if (this->responseStarted) {
+    seen.firstTokenMs =
+      static_cast<double>((this->responseStartedAt - this->sentAt).count());
+  }
+  if (this->splitter.ReturnedCount() > 1) {
+    const Millis whole = ServingState::Now() - this->responseStartedAt;
+    seen.meanGapMs = static_cast<double>(whole.count()) /
+                     static_cast<double>(this->splitter.ReturnedCount() - 1);
+  }
+  this->state.evidence.Observe(move->order.position,
+                               backend->entry.version,
+                               Stratum{ 0, this->request.route->name },
+                               seen);
+}
+
+Task<void>
+RequestForwarder::EndWithoutAnswer(SendOutcome aLast)
+{
+  if (this->responder.Started()) {
+    // The answer has no end mark, so its connection closes and the caller
+    // sees that it is not complete.
+    this->LogEnd(kOk, "stream cut: " + this->lastFailure);
+    co_return;
+  }
+  if (!this->mayHaveRun) {
+    std::string reason = this->lastFailure;
+    if (reason.empty()) {
+      reason = "no time left";
+    }
+    co_await this->SendRejection(std::move(reason));
+    co_return;
+  }
+  const bool late = aLast == SendOutcome::eDeadlineExceeded;
+  const unsigned status = late ? kGatewayTimeout : kBadGateway;
+  std::string reason = this->lastFailure;
+  co_await this->SendFailure(status, std::move(reason));
+}
+
+Task<void>
+RequestForwarder::SendRejection(std::string aReason)
+{
+  const Millis comeBack = std::max(RetryDelayFor(this->state, this->TimeLeft()),
+                                   this->rateLimitWait.value_or(Millis(0)));
+  HttpResponse reply = MakeLocalResponse(this->state,
+                                         this->request.incoming.attempt,
+                                         kServiceUnavailable,
+                                         aReason,
+                                         comeBack);
+  co_await this->responder.Send(std::move(reply));
+  this->LogEnd(kServiceUnavailable, aReason);
+}
+
+Task<void>
+RequestForwarder::SendFailure(unsigned aStatus, std::string aReason)
+{
+  HttpResponse reply = MakeLocalResponse(this->state,
+                                         this->request.incoming.attempt,
+                                         aStatus,
+                                         aReason,
+                                         std::nullopt);
+  co_await this->responder.Send(std::move(reply));
+  this->LogEnd(aStatus, aReason);
+}
+
+void
+RequestForwarder::LogSend(const Placement& aPlacement,
+                          SendOutcome aOutcome,
+                          const std::string& aWhy)
+{
+  const bool plain = aOutcome == SendOutcome::eAnswered && this->sends == 1;
+  if (plain) {
+    return; // the line of the request's end says it all
+  }
+  const TimePoint now = ServingState::Now();
+  this->state.log.Emit(
+    Event("request.sent")
+      .With("request", this->request.incoming.attempt)
+      .With("backend", aPlacement.backend)
+      .With("outcome", NameOf(aOutcome))
+      .With("why", aOutcome == SendOutcome::eAnswered ? "" : aWhy)
+      .With("ms", (now - this->sentAt).count())
+      .With("expected_ms", static_cast<std::int64_t>(aPlacement.expectedMs))
+      .With("ahead_tokens", aPlacement.queuedTokens)
+      .With("events", this->splitter.ReturnedCount()));
+}
+
+void
+RequestForwarder::LogEnd(unsigned aStatus, const std::string& aReason)
+{
+  const TimePoint now = ServingState::Now();
+  const Millis first = this->firstEventAt.ms == 0
+                         ? Millis(0)
+                         : this->firstEventAt - this->request.arrived;
+  const Placement sent = this->lastPlacement.value_or(Placement{});
+  const std::uint64_t prompt = TotalTokens(this->request.incoming.prompt);
+  const std::uint64_t own = UnsharedTokens(this->request.incoming.prompt);
+  this->state.metrics.Count("toucanshed_requests_total",
+                            "status=\"" + std::to_string(aStatus) + "\"");
+  this->state.log.Emit(
+    Event("request.ended")
+      .With("request", this->request.incoming.attempt)
+      .With("route", this->request.route->name)
+      .With("team",
+            this->request.team != nullptr ? this->request.team->id.value : "")
+      .With("tokens", this->request.incoming.promptTokens)
+      .With("most_output", this->request.incoming.maxOutputTokens)
+      .With("backend", sent.backend)
+      .With("status", aStatus)
+      .With("why", aReason)
+      .With("sends", this->sends)
+      .With("within_limit", this->limitUse == LimitDecision::eAllowed ? 1 : 0)
+      .With("stood_back_ms", this->deferredFor.count())
+      .With("sent_ms",
+            this->sends > 0 ? (this->sentAt - this->request.arrived).count()
+                            : -1)
+      .With("first_ms", first.count())
+      .With("target_ms", this->request.route->latencyTarget.count())
+      .With("expected_ms", static_cast<std::int64_t>(sent.expectedMs))
+      .With("ahead_tokens", sent.queuedTokens)
+      .With("shared_part", SharedSectionId(this->request.incoming.prompt))
+      .With("shared_tokens", prompt - own)
+      .With("shared_read", sent.uncachedTokens > own ? 1 : 0)
+      .With("gap_ms", this->longestGap.count())
+      .With("gap_target_ms", this->request.route->eventGapTarget.count())
+      .With("ms", (now - this->request.arrived).count())
+      .With("events", this->splitter.ReturnedCount())
+      .With("catalog", this->request.catalog->version));
+}
+
+} // namespace toucanshed
--- /dev/null
+++ b/src/serve/ResponseRelay.cpp
@@ -0,0 +1,219 @@
+// The half of RequestRun that relays a back end's answer; RequestRun.cpp holds
+// the choices before and after it.
+#include "RequestForwarder.h"
+
+#include "BackendLoadGuard.h"
+#include "ServingState.h"
+
+namespace toucanshed {
+
+namespace {
+
+constexpr unsigned kOk = 200;
+constexpr unsigned kServerError = 500;
+/** Pause within a stream after which it is taken up elsewhere. Engines pause
+ * streams themselves when their memory is full, for some hundred ms. */
+constexpr Millis kStreamGapTimeout{ 1600 };
+
+} // namespace
+
+Task<SendOutcome>
+RequestForwarder::Relay(HttpExchange& aExchange, const Placement& aPlacement)
+{
+  const BackendResponseHead head =
+    this->state.wire.backends.read(aExchange.Status(), aExchange.Headers());
+  if (head.otherInstance) {
+    this->state.backends.MarkLeaving(aPlacement.backend);
+    this->lastFailure = "another back end has the address";
+    co_return SendOutcome::eNotRun;
+  }
+  this->UpdateRateLimit(aPlacement.backend, head);
+  if (head.attempt != this->request.incoming.attempt) {
+    // An answer that came late or twice, to somebody else's request.
+    this->lastFailure = "answer of another request";
+    co_return SendOutcome::eMayHaveRun;
+  }
+  if (head.notRun) {
+    this->lastFailure =
+      "turned away with " + std::to_string(aExchange.Status());
+    co_return SendOutcome::eNotRun;
+  }
+  if (head.isStream && aExchange.Status() == kOk) {
+    co_return co_await this->RelayStream(aExchange, aPlacement);
+  }
+  co_return co_await this->RelayBuffered(aExchange, aPlacement);
+}
+
+void
+RequestForwarder::UpdateRateLimit(const InstanceId& aBackend,
+                                  const BackendResponseHead& aHead)
+{
+  if (aHead.unreadableLimit) {
+    this->state.log.Emit(
+      Event("backend.limit_unreadable").With("backend", aBackend));
+    return;
+  }
+  const Backend* backend = this->state.backends.Find(aBackend);
+  if (backend == nullptr) {
+    return; // it has gone, and its limit with it
+  }
+  EngineLimits& limits = this->state.engineLimits;
+  const bool news = limits.RecordResponse(
+    aBackend, backend->entry.incarnation, aHead.limit, ServingState::Now());
+  if (limits.HasUrgentUpdates()) {
+    this->state.sendRateLimits();
+  }
+  if (!news) {
+    return;
+  }
+  this->state.log.Emit(
+    Event("backend.limit")
+      .With("backend", aBackend)
+      .With("per_s",
+            aHead.limit ? std::to_string(aHead.limit->perSecond) : "none")
+      .With("request", this->request.incoming.attempt)
+      .With("answer_ms", (ServingState::Now() - this->sentAt).count()));
+}
+
+void
+RequestForwarder::RecordResponseStart(const Placement& aPlacement)
+{
+  if (this->responseStarted) {
+    return;
+  }
+  this->responseStarted = true;
+  this->loadGuard->RecordFirstToken();
+  const TimePoint now = ServingState::Now();
+  this->responseStartedAt = now;
+  const auto took = static_cast<double>((now - this->sentAt).count());
+  this->ServicePlacer().RecordResponseStart(
+    static_cast<double>(aPlacement.uncachedTokens + aPlacement.queuedTokens),
+    took);
+  this->state.backends.RecordResponseStart(
+    aPlacement.backend, took, aPlacement.expectedMs);
+  this->state.metrics.RecordFirstToken(
+    static_cast<double>((now - this->request.arrived).count()));
+  if (this->firstEventAt.ms == 0) {
+    this->firstEventAt = now;
+  }
+  if (!this->usageCounted && this->request.team != nullptr) {
+    this->usageCounted = true;
+    this->state.usage.Count(this->request.team->id,
+                            this->state.ClusterTimeMs());
+  }
+}
+
+Task<SendOutcome>
+RequestForwarder::RelayStream(HttpExchange& aExchange,
+                              const Placement& aPlacement)
+{
+  this->splitter.DiscardPartialEvent();
+  aExchange.SetBodyIdleTimeout(this->AttemptTimeout());
+  while (true) {
+    auto piece = co_await aExchange.ReadChunk();
+    if (!piece) {
+      this->lastFailure = "stream broke: " + piece.error().message;
+      co_return this->ClassifyError(piece.error());
+    }
+    if (!piece->has_value()) {
+      break;
+    }
+    this->splitter.Add(**piece);
+    const bool passed = co_await this->RelayEvents(aExchange, aPlacement);
+    if (!passed) {
+      co_return SendOutcome::eCallerDisconnected;
+    }
+    if (this->splitter.Broken()) {
+      this->lastFailure = "an event of the stream is missing";
+      co_return SendOutcome::eMayHaveRun;
+    }
+  }
+  if (this->splitter.HasPartialEvent() || !this->responder.Started()) {
+    this->lastFailure = "the stream ended within an event";
+    co_return SendOutcome::eMayHaveRun;
+  }
+  co_await this->responder.End();
+  this->state.backends.RecordSuccess(aPlacement.backend);
+  this->LogEnd(kOk, "streamed");
+  co_return SendOutcome::eAnswered;
+}
+
+Task<bool>
+RequestForwarder::RelayEvents(HttpExchange& aExchange,
+                              const Placement& aPlacement)
+{
+  std::string events;
+  while (auto event = this->splitter.Next()) {
+    events += event->bytes;
+  }
+  if (events.empty()) {
+    co_return true;
+  }
+  this->RecordResponseStart(aPlacement);
+  const TimePoint now = ServingState::Now();
+  this->state.backends.RecordProgress(aPlacement.backend, now);
+  if (this->lastEventAt.ms != 0) {
+    this->longestGap = std::max(this->longestGap, now - this->lastEventAt);
+  }
+  this->lastEventAt = now;
+  aExchange.SetBodyIdleTimeout(IsRetrySafe(this->request.route->kind)
+                                 ? std::min(kStreamGapTimeout, this->TimeLeft())
+                                 : this->TimeLeft());
+  if (!this->responder.Started()) {
+    HttpResponse head = this->state.wire.backends.forwardHead(
+      aExchange.Status(), aExchange.Headers());
+    const bool begun = co_await this->responder.Begin(std::move(head));
+    if (!begun) {
+      co_return false;
+    }
+  }
+  co_return co_await this->responder.Write(std::move(events));
+}
+
+Task<SendOutcome>
+RequestForwarder::RelayBuffered(HttpExchange& aExchange,
+                                const Placement& aPlacement)
+{
+  if (this->responder.Started()) {
+    // The rest of a stream was asked for and another kind of answer came.
+    this->lastFailure =
+      "no stream: status " + std::to_string(aExchange.Status());
+    co_return SendOutcome::eMayHaveRun;
+  }
+  const unsigned status = aExchange.Status();
+  HttpResponse reply =
+    this->state.wire.backends.forwardHead(status, aExchange.Headers());
+  while (true) {
+    auto piece = co_await aExchange.ReadChunk();
+    if (!piece) {
+      this->lastFailure = "answer broke: " + piece.error().message;
+      co_return this->ClassifyError(piece.error());
+    }
+    if (!piece->has_value()) {
+      break;
+    }
+    reply.body() += **piece;
+  }
+  this->state.backends.RecordProgress(aPlacement.backend, ServingState::Now());
+  const bool failure = status >= kServerError;
+  this->responseFailed = failure;
+  if (failure) {
+    this->state.backends.RecordFailure(aPlacement.backend, ServingState::Now());
+  } else {
+    this->state.backends.RecordSuccess(aPlacement.backend);
+  }
+  this->RecordResponseStart(aPlacement);
+  const bool again =
+    failure && IsRetrySafe(this->request.route->kind) &&
+    this->possibleRuns + 1 < this->request.route->maxBackends &&
+    this->TimeLeft() > this->request.route->latencyTarget / 2;
+  if (again) {
+    this->lastFailure = "back end failed with " + std::to_string(status);
+    co_return SendOutcome::eMayHaveRun;
+  }
+  co_await this->responder.Send(std::move(reply));
+  this->LogEnd(status, "answered");
+  co_return SendOutcome::eAnswered;
+}
+
+} // namespace toucanshed
--- a/src/serve/MoveWatch.cpp
+++ b/src/serve/RolloutMonitor.cpp
@@ -1,4 +1,4 @@
-#include "MoveWatch.h"
+#include "RolloutMonitor.h"
 
 #include "EngineDemand.h"
 #include "ServingState.h"
@@ -14,34 +14,34 @@
 
 /** A bad version must be off traffic within seconds; the evidence changes with
  * the other daemons' words, several times a second. */
-constexpr Millis kLook{ 200 };
+constexpr Millis kPollInterval{ 200 };
 /** Facts about a move outlive its order's deadline by far. */
 constexpr Millis kRemembered{ 10 * 60 * 1000 };
-constexpr Millis kRetry{ 500 };
+constexpr Millis kRetryInterval{ 500 };
 
 std::string
-FactKey(const MoveOrder& aOrder, MoveStage aStage)
+RolloutFactKey(const RolloutOrder& aOrder, RolloutPhase aStage)
 {
   const char* kind =
-    aStage == MoveStage::eCompleted ? "move-completed/" : "move-taken-back/";
+    aStage == RolloutPhase::eCompleted ? "move-completed/" : "move-taken-back/";
   return kind + aOrder.service.value + "/" +
          std::to_string(aOrder.position.value);
 }
 
 /** Applies what the statuses in the store say of orders that still stand. */
 Task<void>
-LearnEndedMoves(ServingState& aState)
+ReadEndedRollouts(ServingState& aState)
 {
   while (true) {
-    const auto page = co_await ReadNewest(aState, StoreTopic::eStatus);
+    const auto page = co_await ReadLatest(aState, StoreTopic::eStatus);
     if (!page) {
-      co_await Sleep(kRetry);
+      co_await Sleep(kRetryInterval);
       continue;
     }
     for (const KeyedRecord& record : page->records) {
-      const auto status = aState.wire.records.readMoveStatus(*record.value);
+      const auto status = aState.wire.records.readRolloutStatus(*record.value);
       if (status) {
-        aState.moves.Ended(status->service, status->order, status->stage);
+        aState.rollouts.End(status->service, status->order, status->stage);
       }
     }
     co_return;
@@ -49,48 +49,49 @@
 }
 
 void
-FollowFacts(ServingState& aState, const VersionMove& aMove)
+ApplyRolloutFacts(ServingState& aState, const Rollout& aMove)
 {
-  for (const MoveStage stage :
-       { MoveStage::eTakenBack, MoveStage::eCompleted }) {
-    if (aState.facts.Holds(FactKey(aMove.order, stage))) {
-      aState.moves.Ended(aMove.order.service, aMove.order.position, stage);
+  for (const RolloutPhase stage :
+       { RolloutPhase::eRolledBack, RolloutPhase::eCompleted }) {
+    if (aState.facts.Contains(RolloutFactKey(aMove.order, stage))) {
+      aState.rollouts.End(aMove.order.service, aMove.order.position, stage);
     }
   }
 }
 
 /** What the engines of both versions could bear once the move has ended. */
-MoveOutlook
+RolloutReadiness
 OutlookOf(ServingState& aState,
-          const VersionMove& aMove,
-          const VersionFinding& aFinding)
+          const Rollout& aMove,
+          const VersionVerdict& aFinding)
 {
-  MoveOutlook outlook;
+  RolloutReadiness outlook;
   outlook.doubtful = aFinding.doubtful;
   for (const auto& [id, backend] : aState.backends.All()) {
     const bool counts =
       backend.entry.service == aMove.order.service && !backend.leaving;
     if (counts) {
       const bool fresh = backend.entry.version == aMove.order.target;
-      ++(fresh ? outlook.target : outlook.old);
+      ++(fresh ? outlook.newEngines : outlook.oldEngines);
     }
   }
   const ServiceSpec* service = aState.catalog->FindService(aMove.order.service);
   if (service != nullptr) {
     const TimePoint now = ServingState::Now();
-    const EngineNeed need = EnginesNeeded(aState, *service, now);
+    const RequiredEngines need = RequiredEnginesNow(aState, *service, now);
     // Requests that pile up where engines are missing need no more of them than
     // serve now.
-    const double places = std::min(need.places, outlook.old);
-    outlook.needed = ScalePlanner::kSuffices * std::max(need.reading, places);
+    const double places = std::min(need.forSlots, outlook.oldEngines);
+    outlook.requiredEngines =
+      ScalePlanner::kSufficientShare * std::max(need.forPrefill, places);
   }
   return outlook;
 }
 
 } // namespace
 
-VersionFinding
-JudgeMove(const ServingState& aState, const VersionMove& aMove)
+VersionVerdict
+EvaluateRollout(const ServingState& aState, const Rollout& aMove)
 {
   StratumTallies old;
   for (const auto& [id, backend] : aState.backends.All()) {
@@ -104,45 +105,47 @@
   }
   const StratumTallies fresh =
     aState.evidence.Sum(aMove.order.position, aMove.order.target);
-  return TestVersion(old, fresh, VersionTestLimits{});
+  return CompareVersions(old, fresh, VersionComparisonLimits{});
 }
 
 void
-EndMove(ServingState& aState, const MoveOrder& aOrder, MoveStage aStage)
+EndRollout(ServingState& aState,
+           const RolloutOrder& aOrder,
+           RolloutPhase aStage)
 {
   const TimePoint now = ServingState::Now();
-  aState.moves.Ended(aOrder.service, aOrder.position, aStage);
+  aState.rollouts.End(aOrder.service, aOrder.position, aStage);
   FactEntry fact;
-  fact.key = FactKey(aOrder, aStage);
+  fact.key = RolloutFactKey(aOrder, aStage);
   fact.expires = now + kRemembered;
   aState.facts.Add(std::move(fact), now);
 }
 
 Task<void>
-WatchMoves(ServingState& aState)
+MonitorRollouts(ServingState& aState)
 {
   while (!aState.Ready()) {
-    co_await Sleep(kLook);
+    co_await Sleep(kPollInterval);
   }
   // Only an order that was there before this daemon may have ended before.
-  if (!aState.moves.Active().empty()) {
-    co_await LearnEndedMoves(aState);
+  if (!aState.rollouts.Active().empty()) {
+    co_await ReadEndedRollouts(aState);
   }
   while (true) {
-    co_await Sleep(kLook);
-    for (const VersionMove& move : aState.moves.Active()) {
-      FollowFacts(aState, move);
-      const VersionFinding finding = JudgeMove(aState, move);
-      aState.moves.SetOutlook(move.order.service,
-                              OutlookOf(aState, move, finding),
-                              ServingState::Now());
+    co_await Sleep(kPollInterval);
+    for (const Rollout& move : aState.rollouts.Active()) {
+      ApplyRolloutFacts(aState, move);
+      const VersionVerdict finding = EvaluateRollout(aState, move);
+      aState.rollouts.SetReadiness(move.order.service,
+                                   OutlookOf(aState, move, finding),
+                                   ServingState::Now());
       if (finding.bad) {
         aState.log.Emit(Event("move.taken_back")
                           .With("service", move.order.service)
                           .With("target", move.order.target)
                           .With("seen", finding.requests)
                           .With("why", finding.reason));
-        EndMove(aState, move.order, MoveStage::eTakenBack);
+        EndRollout(aState, move.order, RolloutPhase::eRolledBack);
       }
     }
   }
--- a/src/serve/MoveWatch.h
+++ b/src/serve/RolloutMonitor.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "coord/VersionMoves.h"
+#include "coord/Rollouts.h"
 #include "edge/Task.h"
 
 namespace toucanshed {
@@ -12,17 +12,19 @@
 struct ServingState;
 
 /** What the evidence of all daemons says of a move's new version. */
-VersionFinding
-JudgeMove(const ServingState& aState, const VersionMove& aMove);
+VersionVerdict
+EvaluateRollout(const ServingState& aState, const Rollout& aMove);
 
 /** A move has ended: this daemon acts on it, and tells the others. */
 void
-EndMove(ServingState& aState, const MoveOrder& aOrder, MoveStage aStage);
+EndRollout(ServingState& aState,
+           const RolloutOrder& aOrder,
+           RolloutPhase aStage);
 
 /** Takes a bad version back here the moment the evidence shows it, without
  * waiting for the holder's record; follows what others say of moves. Runs for
  * as long as the daemon does. */
 Task<void>
-WatchMoves(ServingState& aState);
+MonitorRollouts(ServingState& aState);
 
 } // namespace toucanshed
--- a/src/serve/ServingDaemon.cpp
+++ b/src/serve/ServingDaemon.cpp
@@ -1,8 +1,8 @@
 #include "ServingDaemon.h"
 
-#include "CallerFace.h"
-#include "MoveWatch.h"
-#include "StoreFeed.h"
+#include "CallerHandler.h"
+#include "RolloutMonitor.h"
+#include "StoreWatcher.h"
 #include "base/LogWriter.h"
 #include "edge/Worker.h"
 
@@ -18,15 +18,15 @@
 namespace {
 
 constexpr unsigned kOk = 200;
-constexpr unsigned kUnavailable = 503;
+constexpr unsigned kServiceUnavailable = 503;
 /** Between two batches of log lines; what a killed process loses of its log. */
-constexpr Millis kHousekeepingEvery{ 100 };
+constexpr Millis kHousekeepingInterval{ 100 };
 /** The balancer asks every second and takes a daemon out after two misses;
  * until then it still sends new connections. */
-constexpr Millis kBalancerNotices{ 2800 };
+constexpr Millis kBalancerRemovalDelay{ 2800 };
 /** Kept of the grace time for the exit itself. */
-constexpr Millis kExitTime{ 700 };
-constexpr Millis kStopLook{ 50 };
+constexpr Millis kExitReserve{ 700 };
+constexpr Millis kStopPollInterval{ 50 };
 
 } // namespace
 
@@ -44,7 +44,7 @@
   , callers(state.pool,
             HttpLimits{},
             [this](Worker&, const HttpRequest& aRequest, HttpResponder& aTo) {
-              return ServeCaller(this->state, aRequest, aTo);
+              return HandleCallerRequest(this->state, aRequest, aTo);
             })
   , readiness(state.pool,
               HttpLimits{},
@@ -82,11 +82,11 @@
     return linked;
   }
   Worker& worker = this->state.pool.First();
-  worker.Spawn(FollowOperator(this->state));
-  worker.Spawn(FollowBackends(this->state));
-  worker.Spawn(WatchMoves(this->state));
+  worker.Spawn(WatchOperatorTopic(this->state));
+  worker.Spawn(WatchBackendList(this->state));
+  worker.Spawn(MonitorRollouts(this->state));
   const bool hasDuties =
-    settings.cloud && (settings.reportsUsage || settings.ordersEngines);
+    settings.cloud && (settings.reportsUsage || settings.scalesEngines);
   if (hasDuties) {
     worker.Spawn(this->duties.Run());
   }
@@ -96,7 +96,7 @@
   this->state.log.Emit(Event("daemon.started")
                          .With("zone", settings.zone)
                          .With("callers", ToText(settings.callers))
-                         .With("life", this->state.life));
+                         .With("life", this->state.incarnation));
   return {};
 }
 
@@ -111,15 +111,15 @@
 ServingDaemon::AnswerReadiness(HttpResponder& aResponder)
 {
   const bool ready = this->state.Ready();
-  HttpReply reply = MakeReply(ready ? kOk : kUnavailable, "");
+  HttpResponse reply = MakeResponse(ready ? kOk : kServiceUnavailable, "");
   co_await aResponder.Send(std::move(reply));
 }
 
 Task<void>
 ServingDaemon::AnswerMetrics(HttpResponder& aResponder)
 {
-  HttpReply reply =
-    MakeReply(kOk, this->state.metrics.Expose(), "text/plain; version=0.0.4");
+  HttpResponse reply = MakeResponse(
+    kOk, this->state.metrics.ToPrometheusText(), "text/plain; version=0.0.4");
   co_await aResponder.Send(std::move(reply));
 }
 
@@ -128,16 +128,16 @@
 {
   std::uint64_t applied = 0;
   while (true) {
-    co_await Sleep(kHousekeepingEvery);
+    co_await Sleep(kHousekeepingInterval);
     this->logWriter.Flush();
     const auto& catalog = this->state.catalog;
     if (catalog != nullptr && catalog->version != applied) {
       applied = catalog->version;
       HttpLimits limits;
-      limits.headBytes = catalog->callers.headBytes;
-      limits.bodyBytes = catalog->callers.bodyBytes;
-      limits.arrival = catalog->callers.headTime;
-      limits.idle = catalog->callers.idleTime;
+      limits.maxHeaderBytes = catalog->requestLimits.maxHeaderBytes;
+      limits.maxBodyBytes = catalog->requestLimits.maxBodyBytes;
+      limits.requestTimeout = catalog->requestLimits.headerTimeout;
+      limits.idleTimeout = catalog->requestLimits.idleTimeout;
       this->callers.SetLimits(std::move(limits));
     }
   }
@@ -158,16 +158,17 @@
 ServingDaemon::StopGracefully()
 {
   const TimePoint began = ServingState::Now();
-  const TimePoint end = began + (this->state.settings.bounds.grace - kExitTime);
+  const TimePoint end =
+    began + (this->state.settings.bounds.grace - kExitReserve);
   this->state.stopping = true;
   this->callers.AnnounceClose();
-  const TimePoint unnoticed = began + kBalancerNotices;
+  const TimePoint unnoticed = began + kBalancerRemovalDelay;
   while (ServingState::Now() < std::min(unnoticed, end)) {
-    co_await Sleep(kStopLook);
+    co_await Sleep(kStopPollInterval);
   }
   this->callers.Close();
   while (this->state.inProgress > 0 && ServingState::Now() < end) {
-    co_await Sleep(kStopLook);
+    co_await Sleep(kStopPollInterval);
   }
   this->state.log.Emit(Event("daemon.stopped")
                          .With("in_progress", this->state.inProgress)
@@ -185,7 +186,8 @@
     auto read = this->readSettings();
     if (!read) {
       this->state.log.Emit(
-        Event("settings.rejected").With("reason", Describe(read.error())));
+        Event("settings.rejected")
+          .With("reason", FormatValidationErrors(read.error())));
       continue;
     }
     // Ports and names stay those of the start; the bounds may change.
--- a/src/serve/ServingDaemon.h
+++ b/src/serve/ServingDaemon.h
@@ -3,10 +3,10 @@
  */
 #pragma once
 
-#include "DutyKeeper.h"
-#include "PeerLink.h"
+#include "DutyRunner.h"
+#include "PeerMessenger.h"
 #include "ServingState.h"
-#include "base/Complaint.h"
+#include "base/ValidationError.h"
 #include "edge/HttpServer.h"
 
 #include <boost/asio/signal_set.hpp>
@@ -21,8 +21,8 @@
 {
 public:
   /** Reads the settings again, when told that they have changed. */
-  using ReadSettings =
-    std::function<tl::expected<ServingSettings, std::vector<Complaint>>()>;
+  using ReadSettings = std::function<
+    tl::expected<ServingSettings, std::vector<ValidationError>>()>;
 
   ServingDaemon(ServingSettings aSettings,
                 WireFormats aWire,
@@ -46,8 +46,8 @@
   ServingState state;
   ReadSettings readSettings;
   LogWriter& logWriter;
-  PeerLink peers;
-  DutyKeeper duties;
+  PeerMessenger peers;
+  DutyRunner duties;
   HttpServer callers;
   HttpServer readiness;
   HttpServer metrics;
--- a/src/serve/ServingRequest.h
+++ b/src/serve/ServingRequest.h
@@ -6,7 +6,7 @@
 
 #include "base/Types.h"
 #include "coord/Catalog.h"
-#include "coord/PromptPart.h"
+#include "coord/PromptSection.h"
 #include "edge/HttpTypes.h"
 
 #include <memory>
@@ -21,13 +21,13 @@
 {
   AttemptId attempt;
   std::string host;
-  std::string target;             // path and query as sent
-  std::string key;                // the caller's, empty when it sent none
-  std::optional<Millis> patience; // how long the caller waits
-  std::vector<PromptPart> prompt;
+  std::string target;                  // path and query as sent
+  std::string key;                     // the caller's, empty when it sent none
+  std::optional<Millis> callerTimeout; // how long the caller waits
+  std::vector<PromptSection> prompt;
   std::uint64_t promptTokens = 0;
-  std::uint64_t mostOutputTokens = 0;
-  bool statesTokens = false;
+  std::uint64_t maxOutputTokens = 0;
+  bool hasTokenCounts = false;
   std::optional<std::uint64_t> resumeAfter; // last event the caller has
   /** Head and body as received, to be passed on. */
   const HttpRequest* message = nullptr;
@@ -46,10 +46,11 @@
   Fingerprint fingerprint;
 
   /** 0 goes first. A team's urgency goes before its route's. */
-  [[nodiscard]] int Urgency() const
+  [[nodiscard]] int Priority() const
   {
-    return this->team != nullptr && this->team->urgency ? *this->team->urgency
-                                                        : this->route->urgency;
+    return this->team != nullptr && this->team->priority
+             ? *this->team->priority
+             : this->route->priority;
   }
 };
 
--- a/src/serve/ServingSettings.h
+++ b/src/serve/ServingSettings.h
@@ -16,18 +16,18 @@
  * used where a deployment does not state a limit. */
 struct ServingBounds
 {
-  Millis drain{ 2000 };         // from a leaving entry to the last send
-  Millis configuration{ 2000 }; // from a change to its being in force
-  Millis grace{ 8000 };         // from the stop signal to the kill
-  Millis lease{ 3000 };         // holders of a duty do not return within this
-  double retryRatio = 0.1;      // retries per request, all daemons together
+  Millis drainDelay{ 2000 };         // from a leaving entry to the last send
+  Millis configurationDelay{ 2000 }; // from a change to its being in force
+  Millis grace{ 8000 };              // from the stop signal to the kill
+  Millis lease{ 3000 };    // holders of a duty do not return within this
+  double retryRatio = 0.1; // retries per request, all daemons together
   Millis retryWindow{ 10000 };
   double retrySlack = 10; // retries in a window beyond the ratio
   Millis quotaWindow{ 8000 };
   double quotaOvershoot = 0.1;
   double quotaSlack = 0; // in the limits' units, beyond the overshoot
   Millis usageWindow{ 5000 };
-  Millis usageLate{ 10000 }; // from a window's end to its report
+  Millis usageDeadline{ 10000 }; // from a window's end to its report
   double exposureShare = 0.1;
 };
 
@@ -43,9 +43,9 @@
   std::uint16_t metricsPort = 0;
   std::optional<Endpoint> store;
   std::optional<Endpoint> cloud;
-  Millis heartbeat{ 1200 }; // back ends renew their entries this often
+  Millis entryInterval{ 1200 }; // back ends renew their entries this often
   bool reportsUsage = false;
-  bool ordersEngines = false;
+  bool scalesEngines = false;
   ServingBounds bounds;
 };
 
--- a/src/serve/ServingState.cpp
+++ b/src/serve/ServingState.cpp
@@ -1,6 +1,6 @@
 #include "ServingState.h"
 
-#include "PeerLink.h"
+#include "PeerMessenger.h"
 #include "base/Hash.h"
 #include "coord/StoreReaders.h"
 
@@ -15,7 +15,7 @@
                            std::uint64_t aLife)
   : settings(std::move(aSettings))
   , wire(std::move(aWire))
-  , life(aLife)
+  , incarnation(aLife)
   , startedAt(Now())
   , log(settings.id.value, [] { return TimePoint{ WallMs() }; })
   , retries(RetryAllowance{ settings.bounds.retryRatio,
@@ -26,12 +26,12 @@
                            settings.bounds.quotaSlack })
   , quotaExchange(settings.id)
   , usage(settings.bounds.usageWindow)
-  , moves(ExposureLimits{ settings.bounds.exposureShare })
+  , rollouts(ExposureLimits{ settings.bounds.exposureShare })
   , evidence(settings.id.value + "/" + std::to_string(aLife))
   , peers(settings.id)
-  , limitSharers(settings.id, startedAt)
-  , engineLimits(limitSharers)
-  , storeOutage(settings.heartbeat)
+  , limitShares(settings.id, startedAt)
+  , engineLimits(limitShares)
+  , storeOutage(settings.entryInterval)
   , random(Hash64(settings.id.value, aLife))
 {
 }
@@ -61,10 +61,10 @@
 }
 
 std::int64_t
-ServingState::TrueMs() const
+ServingState::ClusterTimeMs() const
 {
   const TimePoint now = Now();
-  return now.ms + this->peers.TrueOffset(WallMs(), now);
+  return now.ms + this->peers.ClusterTimeOffset(WallMs(), now);
 }
 
 bool
@@ -74,61 +74,62 @@
 }
 
 std::optional<std::size_t>
-ServingState::ReaderTurn() const
+ServingState::StoreReaderRank() const
 {
   const TimePoint now = Now();
-  const bool reaches = !this->stopping && !this->storeLost;
+  const bool reaches = !this->stopping && !this->storeLostSince;
   // When hundreds start together, each would read for all until it has heard
   // the others; those that are listed will speak before long.
-  const bool starting = now - this->startedAt < this->peers.Silent();
-  const auto place =
-    ReaderPlace(this->settings.id,
-                reaches,
-                this->peers.Live(now),
-                starting ? this->peers.Unheard() : std::vector<DaemonId>{});
+  const bool starting = now - this->startedAt < this->peers.PeerTimeout();
+  const auto place = ReaderRank(this->settings.id,
+                                reaches,
+                                this->peers.LiveHeartbeats(now),
+                                starting ? this->peers.PeersWithoutHeartbeat()
+                                         : std::vector<DaemonId>{});
   return place && *place < kStoreReaders ? place : std::nullopt;
 }
 
 void
-ServingState::CountQuotaUse(TimePoint aNow)
+ServingState::UpdateQuotas(TimePoint aNow)
 {
-  const Millis silent = this->peers.Silent();
+  const Millis silent = this->peers.PeerTimeout();
   const double part =
-    this->quotaExchange.HeardPart(aNow, silent, !this->storeLost);
-  this->quotas.SetPart(part, aNow);
-  const Millis usual = PeerLink::MeanInterval(this->Daemons());
-  this->quotas.SetWordGap(this->quotaExchange.WordGap(aNow, silent, usual),
-                          aNow);
-  this->LogLimitsPart(part);
-  for (const TeamId& team : this->quotas.Unsettled(aNow)) {
-    if (const auto level = this->quotaExchange.ToldLevel(team, aNow)) {
-      this->quotas.Settle(team, *level, aNow);
+    this->quotaExchange.ReachableShare(aNow, silent, !this->storeLostSince);
+  this->quotas.SetReachableShare(part, aNow);
+  const Millis usual = PeerMessenger::MeanInterval(this->DaemonCount());
+  this->quotas.SetReportInterval(
+    this->quotaExchange.ReportInterval(aNow, silent, usual), aNow);
+  this->LogLimitShare(part);
+  for (const TeamId& team : this->quotas.UnsyncedTeams(aNow)) {
+    if (const auto level = this->quotaExchange.ReportedLevel(team, aNow)) {
+      this->quotas.SyncLevel(team, *level, aNow);
     }
   }
-  for (const auto& [team, taken] : this->quotaExchange.TakeUse(aNow, silent)) {
-    this->quotas.TakenElsewhere(team, taken, aNow);
+  for (const auto& [team, taken] :
+       this->quotaExchange.TakeRemoteUsage(aNow, silent)) {
+    this->quotas.AddRemoteUsage(team, taken, aNow);
   }
 }
 
 void
-ServingState::LogLimitsPart(double aPart)
+ServingState::LogLimitShare(double aPart)
 {
   constexpr double kWorthTelling = 0.1;
   constexpr double kPercent = 100;
-  if (std::abs(aPart - this->loggedLimitsPart) < kWorthTelling) {
+  if (std::abs(aPart - this->loggedLimitShare) < kWorthTelling) {
     return;
   }
-  this->loggedLimitsPart = aPart;
+  this->loggedLimitShare = aPart;
   this->log.Emit(Event("limits.part")
                    .With("percent", static_cast<std::int64_t>(aPart * kPercent))
-                   .With("daemons", this->Daemons())
-                   .With("store_reached", this->storeLost ? 0 : 1));
+                   .With("daemons", this->DaemonCount())
+                   .With("store_reached", this->storeLostSince ? 0 : 1));
 }
 
 std::size_t
-ServingState::Daemons() const
+ServingState::DaemonCount() const
 {
-  return this->peers.Count(Now());
+  return this->peers.LiveDaemons(Now());
 }
 
 } // namespace toucanshed
--- a/src/serve/StoreClient.cpp
+++ b/src/serve/StoreClient.cpp
@@ -8,40 +8,42 @@
 namespace {
 
 /** As long as a machine in the same region may take to accept. */
-constexpr Millis kConnectTime{ 600 };
-constexpr unsigned kUnavailable = 503;
-constexpr unsigned kTooMany = 429;
+constexpr Millis kConnectTimeout{ 600 };
+constexpr unsigned kServiceUnavailable = 503;
+constexpr unsigned kTooManyRequests = 429;
 
 std::string
-LabelsOf(const StorePurpose& aPurpose)
+FormatLabels(const StoreCallLabels& aPurpose)
 {
   return std::string("call=\"") + aPurpose.call + "\",topic=\"" +
          NameOf(aPurpose.topic) + "\"";
 }
 
 void
-NoteReached(ServingState& aState, TimePoint aCalled)
+RecordStoreReached(ServingState& aState, TimePoint aCalled)
 {
-  aState.storeOutage.Answered(aCalled);
-  if (!aState.storeLost) {
+  aState.storeOutage.RecordSuccess(aCalled);
+  if (!aState.storeLostSince) {
     return;
   }
-  const Millis away = ServingState::Now() - *aState.storeLost;
-  aState.storeLost.reset();
+  const Millis away = ServingState::Now() - *aState.storeLostSince;
+  aState.storeLostSince.reset();
   aState.log.Emit(Event("dependency.regained")
                     .With("name", "store")
                     .With("ms", away.count()));
 }
 
 void
-NoteLost(ServingState& aState, TimePoint aCalled, const std::string& aWhy)
+RecordStoreFailure(ServingState& aState,
+                   TimePoint aCalled,
+                   const std::string& aWhy)
 {
-  aState.storeOutage.Failed(aCalled);
+  aState.storeOutage.RecordFailure(aCalled);
   aState.metrics.Count("toucanshed_store_failures_total");
-  if (aState.storeLost) {
+  if (aState.storeLostSince) {
     return;
   }
-  aState.storeLost = ServingState::Now();
+  aState.storeLostSince = ServingState::Now();
   aState.log.Emit(
     Event("dependency.lost").With("name", "store").With("reason", aWhy));
 }
@@ -66,28 +68,28 @@
   return "unknown";
 }
 
-Task<Result<HttpReply>>
+Task<Result<HttpResponse>>
 CallStore(ServingState& aState,
-          StorePurpose aPurpose,
+          StoreCallLabels aPurpose,
           HttpRequest aRequest,
           Millis aWait)
 {
-  const CallTimeouts timeouts{ kConnectTime,
-                               kStoreCallTime + aWait,
-                               kStoreCallTime };
-  aState.metrics.Count("toucanshed_store_calls_total", LabelsOf(aPurpose));
+  const CallTimeouts timeouts{ kConnectTimeout,
+                               kStoreCallTimeout + aWait,
+                               kStoreCallTimeout };
+  aState.metrics.Count("toucanshed_store_calls_total", FormatLabels(aPurpose));
   const TimePoint called = ServingState::Now();
   auto reply = co_await Fetch(
     aState.pool.First(), *aState.settings.store, std::move(aRequest), timeouts);
   if (!reply) {
-    NoteLost(aState, called, reply.error().message);
+    RecordStoreFailure(aState, called, reply.error().message);
     co_return Fail(reply.error().code, reply.error().message);
   }
   const unsigned status = reply->result_int();
-  if (status == kUnavailable || status == kTooMany) {
-    NoteLost(aState, called, "status " + std::to_string(status));
+  if (status == kServiceUnavailable || status == kTooManyRequests) {
+    RecordStoreFailure(aState, called, "status " + std::to_string(status));
   } else {
-    NoteReached(aState, called);
+    RecordStoreReached(aState, called);
   }
   co_return std::move(*reply);
 }
@@ -99,28 +101,28 @@
               std::optional<Position> aAt)
 {
   HttpRequest request = aState.wire.store.append(aTopic, aRecord, aAt);
-  const StorePurpose purpose{ "append", aTopic };
+  const StoreCallLabels purpose{ "append", aTopic };
   auto reply = co_await CallStore(aState, purpose, std::move(request));
   if (!reply) {
     co_return tl::unexpected(reply.error());
   }
-  co_return aState.wire.store.appended(*reply);
+  co_return aState.wire.store.appendedPosition(*reply);
 }
 
 Task<Result<TopicPage>>
-ReadNewest(ServingState& aState, StoreTopic aTopic)
+ReadLatest(ServingState& aState, StoreTopic aTopic)
 {
   TopicPage whole;
   std::string after;
   bool more = true;
   for (bool first = true; more; first = false) {
-    const StorePurpose purpose{ "newest", aTopic };
+    const StoreCallLabels purpose{ "newest", aTopic };
     auto reply = co_await CallStore(
-      aState, purpose, aState.wire.store.newest(aTopic, after));
+      aState, purpose, aState.wire.store.readLatest(aTopic, after));
     if (!reply) {
       co_return tl::unexpected(reply.error());
     }
-    auto page = aState.wire.store.newestPage(*reply);
+    auto page = aState.wire.store.latestPage(*reply);
     if (!page) {
       co_return tl::unexpected(page.error());
     }
--- a/src/serve/StoreClient.h
+++ b/src/serve/StoreClient.h
@@ -13,14 +13,14 @@
 /** How long a call to the store may take. A store that is slow by fifty times
  * answers in 200 ms; one that takes longer is as good as away, since what it
  * says must be in force within two seconds. */
-constexpr Millis kStoreCallTime{ 1200 };
+constexpr Millis kStoreCallTimeout{ 1200 };
 
 /** The topic's name in logs and counters. */
 const char*
 NameOf(StoreTopic aTopic);
 
 /** What a call to the store is for, as the counters tell them apart. */
-struct StorePurpose
+struct StoreCallLabels
 {
   const char* call = "read"; // read, newest or append
   StoreTopic topic = StoreTopic::eOperator;
@@ -30,9 +30,9 @@
  * caller settles that by reading.
  * \param aWait time the store itself may hold the call.
  * Precondition: the settings name a store. */
-Task<Result<HttpReply>>
+Task<Result<HttpResponse>>
 CallStore(ServingState& aState,
-          StorePurpose aPurpose,
+          StoreCallLabels aPurpose,
           HttpRequest aRequest,
           Millis aWait = Millis(0));
 
@@ -46,6 +46,6 @@
 
 /** All newest records of a keyed topic; next is where to read on. */
 Task<Result<TopicPage>>
-ReadNewest(ServingState& aState, StoreTopic aTopic);
+ReadLatest(ServingState& aState, StoreTopic aTopic);
 
 } // namespace toucanshed
--- a/src/serve/StoreFeed.h
+++ b/src/serve/StoreWatcher.h
@@ -14,21 +14,22 @@
 struct ServingState;
 
 namespace serving {
-class StoreWord;
+class StoreReadReport;
 }
 
 /** Keeps aState.catalog and the orders of moves at their newest, for as long
  * as the daemon runs. */
 Task<void>
-FollowOperator(ServingState& aState);
+WatchOperatorTopic(ServingState& aState);
 
 /** Keeps aState.backends at what the list says. */
 Task<void>
-FollowBackends(ServingState& aState);
+WatchBackendList(ServingState& aState);
 
 /** Takes in what another daemon has read in the store. Thread safety: belongs
  * to the worker. */
 void
-TakeStoreWord(ServingState& aState, const serving::StoreWord& aWord);
+ApplyStoreReadReport(ServingState& aState,
+                     const serving::StoreReadReport& aWord);
 
 } // namespace toucanshed
--- a/src/serve/WireFormats.h
+++ b/src/serve/WireFormats.h
@@ -9,7 +9,7 @@
 #include "base/RequestRate.h"
 #include "base/Result.h"
 #include "coord/BackendTable.h"
-#include "coord/MoveOrder.h"
+#include "coord/RolloutOrder.h"
 
 #include <cstdint>
 #include <functional>
@@ -21,22 +21,22 @@
 namespace toucanshed {
 
 /** What one send adds to the caller's request. */
-struct SendPlan
+struct SendContext
 {
   InstanceId backend;
   std::optional<Millis> timeLeft;
-  TeamId team;     // empty on open routes
-  int urgency = 0; // 0 goes first
+  TeamId team;      // empty on open routes
+  int priority = 0; // 0 goes first
   std::optional<std::uint64_t> resumeAfter;
 };
 
 /** What a back end's answer says before its body. */
-struct BackendHead
+struct BackendResponseHead
 {
   AttemptId attempt;
-  bool notRun = false;        // it says that it did not run the request
-  bool otherInstance = false; // another back end has the address now
-  bool leaving = false;       // it closes the connection after this
+  bool notRun = false;           // it says that it did not run the request
+  bool otherInstance = false;    // another back end has the address now
+  bool closesConnection = false; // it closes the connection after this
   bool isStream = false;
   /** What it takes from all daemons together; nothing when it is not in need.
    */
@@ -50,17 +50,19 @@
   /** Reads a request; the error's message tells the caller what is wrong. */
   std::function<Result<IncomingRequest>(const HttpRequest&)> read;
   /** Adds to an answer of this system's own what the protocol asks for. */
-  std::function<void(const AttemptId&, HttpReply&)> complete;
+  std::function<void(const AttemptId&, HttpResponse&)> completeLocalResponse;
 };
 
 /** The back ends' protocol. */
 struct BackendFormat
 {
-  std::function<HttpRequest(const IncomingRequest&, const SendPlan&)> write;
-  std::function<BackendHead(unsigned aStatus, const http::fields&)> read;
+  std::function<HttpRequest(const IncomingRequest&, const SendContext&)> write;
+  std::function<BackendResponseHead(unsigned aStatus, const http::fields&)>
+    read;
   /** The head to pass to the caller: all that does not concern only the
    * connection to the back end. */
-  std::function<HttpReply(unsigned aStatus, const http::fields&)> passOn;
+  std::function<HttpResponse(unsigned aStatus, const http::fields&)>
+    forwardHead;
 };
 
 /** A record of a keyed topic. */
@@ -102,31 +104,33 @@
 struct StoreFormat
 {
   std::function<HttpRequest(StoreTopic, Position aFrom, Millis aWait)> read;
-  std::function<HttpRequest(StoreTopic, const std::string& aAfterKey)> newest;
+  std::function<HttpRequest(StoreTopic, const std::string& aAfterKey)>
+    readLatest;
   /** \param aAt append only if the topic ends there. */
   std::function<HttpRequest(StoreTopic,
                             const std::string& aRecord,
                             std::optional<Position>)>
     append;
   std::function<std::string(const std::string& aKey, const std::string& aValue)>
-    keyed;
-  std::function<Result<TopicPage>(const HttpReply&, Position aFrom)> readPage;
-  std::function<Result<TopicPage>(const HttpReply&)> newestPage;
-  std::function<Result<LogPage>(const HttpReply&, Position aFrom)> logPage;
+    keyedRecord;
+  std::function<Result<TopicPage>(const HttpResponse&, Position aFrom)>
+    readPage;
+  std::function<Result<TopicPage>(const HttpResponse&)> latestPage;
+  std::function<Result<LogPage>(const HttpResponse&, Position aFrom)> logPage;
   /** The first record that is left, from an answer that says that those asked
    * for are gone; nothing when it does not say. */
-  std::function<std::optional<Position>(const HttpReply&)> firstKept;
+  std::function<std::optional<Position>(const HttpResponse&)> firstRetained;
   /** The position that a record got, or where the topic ends if it was not
    * appended because of the condition (eConflict). */
-  std::function<Result<Position>(const HttpReply&)> appended;
+  std::function<Result<Position>(const HttpResponse&)> appendedPosition;
 };
 
 /** How an order for a move was decided, as a status record tells. */
-struct MoveStatusRecord
+struct RolloutStatusRecord
 {
   ServiceId service;
   Position order;
-  MoveStage stage = MoveStage::eActive;
+  RolloutPhase stage = RolloutPhase::eActive;
 };
 
 /** Records of the store that others write. */
@@ -137,12 +141,13 @@
                                      const std::string&)>
     backend;
   std::function<bool(const std::string& aKey)> isCatalogKey;
-  std::function<bool(const std::string& aKey)> isMoveKey;
-  std::function<Result<MoveOrder>(const std::string&)> moveOrder;
-  std::function<std::string(const MoveOrder&)> moveStatusKey;
-  std::function<std::string(const MoveOrder&, MoveStage)> moveStatus;
+  std::function<bool(const std::string& aKey)> isRolloutKey;
+  std::function<Result<RolloutOrder>(const std::string&)> rolloutOrder;
+  std::function<std::string(const RolloutOrder&)> rolloutStatusKey;
+  std::function<std::string(const RolloutOrder&, RolloutPhase)> rolloutStatus;
   /** Reads a status that this system has written. */
-  std::function<Result<MoveStatusRecord>(const std::string&)> readMoveStatus;
+  std::function<Result<RolloutStatusRecord>(const std::string&)>
+    readRolloutStatus;
 };
 
 /** An order for engines in one failure domain. */
--- a/standin/Balancer.cpp
+++ b/standin/Balancer.cpp
@@ -12,7 +12,7 @@
 namespace net = boost::asio;
 
 namespace {
-constexpr std::chrono::milliseconds kCheckEvery{ 200 };
+constexpr std::chrono::milliseconds kProbeInterval{ 200 };
 constexpr std::size_t kCopyBytes = 16384;
 }
 
@@ -21,7 +21,7 @@
   , targets(std::move(aTargets))
 {
   for (std::size_t i = 0; i < this->targets.size(); ++i) {
-    this->worker.Spawn(this->Check(i));
+    this->worker.Spawn(this->ProbeReadiness(i));
   }
 }
 
@@ -46,7 +46,7 @@
 }
 
 Task<void>
-Balancer::Check(std::size_t aIndex)
+Balancer::ProbeReadiness(std::size_t aIndex)
 {
   BalancerTarget& target = this->targets[aIndex];
   CallTimeouts timeouts;
@@ -54,9 +54,9 @@
   while (true) {
     HttpRequest request = MakeRequest(http::verb::get, "/readyz");
     const auto reply = co_await Fetch(
-      this->worker, target.operators, std::move(request), timeouts);
+      this->worker, target.operatorEndpoint, std::move(request), timeouts);
     target.ready = reply && reply->result_int() == 200;
-    co_await Sleep(kCheckEvery);
+    co_await Sleep(kProbeInterval);
   }
 }
 
@@ -71,37 +71,38 @@
       co_await Sleep(std::chrono::milliseconds(20));
       continue;
     }
-    this->worker.Spawn(this->Pass(std::make_shared<Socket>(std::move(socket))));
+    this->worker.Spawn(
+      this->Forward(std::make_shared<Socket>(std::move(socket))));
   }
 }
 
 Task<void>
-Balancer::Pass(std::shared_ptr<Socket> aCaller)
+Balancer::Forward(std::shared_ptr<Socket> aCaller)
 {
   for (std::size_t tries = 0; tries < this->targets.size(); ++tries) {
     const BalancerTarget& target =
-      this->targets[this->turn++ % this->targets.size()];
+      this->targets[this->nextTarget++ % this->targets.size()];
     if (!target.ready) {
       continue;
     }
     auto daemon = std::make_shared<Socket>(this->worker.context);
     boost::system::error_code error;
     co_await daemon->async_connect(
-      target.callers, net::redirect_error(net::use_awaitable, error));
+      target.callerEndpoint, net::redirect_error(net::use_awaitable, error));
     if (error) {
       continue;
     }
     boost::system::error_code ignored;
     aCaller->set_option(net::ip::tcp::no_delay(true), ignored);
     daemon->set_option(net::ip::tcp::no_delay(true), ignored);
-    this->worker.Spawn(Copy(aCaller, daemon));
-    co_await Copy(daemon, aCaller);
+    this->worker.Spawn(RelayBytes(aCaller, daemon));
+    co_await RelayBytes(daemon, aCaller);
     co_return;
   }
 }
 
 Task<void>
-Balancer::Copy(std::shared_ptr<Socket> aFrom, std::shared_ptr<Socket> aTo)
+Balancer::RelayBytes(std::shared_ptr<Socket> aFrom, std::shared_ptr<Socket> aTo)
 {
   std::array<char, kCopyBytes> piece{};
   boost::system::error_code error;
--- a/standin/Balancer.h
+++ b/standin/Balancer.h
@@ -15,8 +15,8 @@
 
 struct BalancerTarget
 {
-  Endpoint callers;
-  Endpoint operators;
+  Endpoint callerEndpoint;
+  Endpoint operatorEndpoint;
   bool ready = false;
 };
 
@@ -32,15 +32,15 @@
   using Socket = boost::asio::ip::tcp::socket;
 
   Task<void> Accept();
-  Task<void> Check(std::size_t aIndex);
-  Task<void> Pass(std::shared_ptr<Socket> aCaller);
-  static Task<void> Copy(std::shared_ptr<Socket> aFrom,
-                         std::shared_ptr<Socket> aTo);
+  Task<void> ProbeReadiness(std::size_t aIndex);
+  Task<void> Forward(std::shared_ptr<Socket> aCaller);
+  static Task<void> RelayBytes(std::shared_ptr<Socket> aFrom,
+                               std::shared_ptr<Socket> aTo);
 
   Worker& worker;
   std::vector<BalancerTarget> targets;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor;
-  std::size_t turn = 0;
+  std::size_t nextTarget = 0;
 };
 
 } // namespace toucanshed::standin
--- a/standin/Cloud.cpp
+++ b/standin/Cloud.cpp
@@ -4,50 +4,50 @@
 
 namespace json = boost::json;
 
-HttpReply
-Cloud::Start(const HttpRequest& aRequest)
+HttpResponse
+Cloud::StartInstance(const HttpRequest& aRequest)
 {
   const std::string token = HeaderOf(aRequest, "Client-Token");
   if (token.empty()) {
-    return MakeReply(400, "{\"error\":\"expected a Client-Token\"}\n");
+    return MakeResponse(400, "{\"error\":\"expected a Client-Token\"}\n");
   }
-  if (this->started.contains(token)) {
-    return MakeReply(200, json::serialize(this->started[token]));
+  if (this->instancesByToken.contains(token)) {
+    return MakeResponse(200, json::serialize(this->instancesByToken[token]));
   }
-  if (this->faults.Strikes("refuse_start_percent")) {
-    return MakeReply(503, "{\"refused\":\"no capacity\"}\n");
+  if (this->faults.ShouldInject("refuse_start_percent")) {
+    return MakeResponse(503, "{\"refused\":\"no capacity\"}\n");
   }
   boost::system::error_code error;
   const auto wanted = json::parse(aRequest.body(), error);
   if (error || !wanted.is_object()) {
-    return MakeReply(400, "{\"error\":\"expected an object\"}\n");
+    return MakeResponse(400, "{\"error\":\"expected an object\"}\n");
   }
   json::object instance = wanted.as_object();
   instance["id"] = "i-" + std::to_string(++this->lastId);
-  this->started[token] = instance;
-  return MakeReply(200, json::serialize(instance));
+  this->instancesByToken[token] = instance;
+  return MakeResponse(200, json::serialize(instance));
 }
 
 Task<void>
 Cloud::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.Serve(aRequest)) {
+  if (auto reply = this->faults.HandleRequest(aRequest)) {
     co_await aResponder.Send(std::move(*reply));
     co_return;
   }
   if (aRequest.method() == http::verb::post) {
-    HttpReply reply = this->Start(aRequest);
-    if (this->faults.Strikes("drop_answer_percent")) {
+    HttpResponse reply = this->StartInstance(aRequest);
+    if (this->faults.ShouldInject("drop_answer_percent")) {
       co_return;
     }
     co_await aResponder.Send(std::move(reply));
     co_return;
   }
   json::array list;
-  for (const auto& [token, instance] : this->started) {
+  for (const auto& [token, instance] : this->instancesByToken) {
     list.push_back(instance);
   }
-  co_await aResponder.Send(MakeReply(200, json::serialize(list)));
+  co_await aResponder.Send(MakeResponse(200, json::serialize(list)));
 }
 
 } // namespace toucanshed::standin
--- a/standin/Cloud.h
+++ b/standin/Cloud.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "edge/HttpServer.h"
 
 #include <boost/json.hpp>
@@ -24,10 +24,10 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
 private:
-  HttpReply Start(const HttpRequest& aRequest);
+  HttpResponse StartInstance(const HttpRequest& aRequest);
 
-  Faults faults;
-  boost::json::object started; // by client token
+  FaultSwitches faults;
+  boost::json::object instancesByToken; // by client token
   std::uint64_t lastId = 0;
 };
 
--- a/standin/Engine.cpp
+++ b/standin/Engine.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /** A prompt that holds this ends the process when the crash switch is on. */
-constexpr std::string_view kCrashMark = "CRASH-THE-ENGINE";
+constexpr std::string_view kCrashMarker = "CRASH-THE-ENGINE";
 
 std::int64_t
 IntegerOf(const json::object& aObject, std::string_view aName)
@@ -52,8 +52,8 @@
   , incarnation(std::to_string(getpid()))
   , started(std::chrono::steady_clock::now())
 {
-  this->faults.Set(this->options.faultFromStart, 1);
-  this->published = json::serialize(this->LoadNow());
+  this->faults.Set(this->options.initialFault, 1);
+  this->publishedLoad = json::serialize(this->CurrentLoad());
   this->worker.Spawn(this->PublishLoad());
 }
 
@@ -61,8 +61,8 @@
 Engine::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
   const std::string_view path = PathOf(aRequest.target());
-  if (auto reply = this->faults.Serve(aRequest)) {
-    this->published = json::serialize(this->LoadNow());
+  if (auto reply = this->faults.HandleRequest(aRequest)) {
+    this->publishedLoad = json::serialize(this->CurrentLoad());
     co_await aResponder.Send(std::move(*reply));
     co_return;
   }
@@ -70,98 +70,101 @@
     co_await this->Generate(aRequest, aResponder);
     co_return;
   }
-  HttpReply reply = MakeReply(404, "{}\n");
+  HttpResponse reply = MakeResponse(404, "{}\n");
   if (path == "/load") {
-    reply = MakeReply(200, this->published);
+    reply = MakeResponse(200, this->publishedLoad);
   } else if (path == "/health") {
-    reply = MakeReply(200, "{}\n");
+    reply = MakeResponse(200, "{}\n");
   } else if (path == "/cancel") {
     const std::string attempt = StringOf(ObjectOf(aRequest.body()), "attempt");
-    if (this->active.count(attempt) != 0) {
+    if (this->activePrompts.count(attempt) != 0) {
       this->cancelled.insert(attempt);
     }
-    reply = MakeReply(200, "{}\n");
+    reply = MakeResponse(200, "{}\n");
   } else if (path == "/export") {
     reply = this->Export(aRequest);
   } else if (path == "/import") {
     reply = this->Import(aRequest);
   } else if (path == "/orders") {
-    reply = this->Order(aRequest);
+    reply = this->ApplyOrder(aRequest);
   } else if (path == "/cache-events") {
     reply = this->CacheEvents(aRequest.target());
   }
   co_await aResponder.Send(std::move(reply));
 }
 
-HttpReply
+HttpResponse
 Engine::Import(const HttpRequest& aRequest)
 {
-  if (this->faults.On("refuse_import")) {
-    return MakeReply(409, "{\"refused\":\"no memory for imported state\"}\n");
+  if (this->faults.IsOn("refuse_import")) {
+    return MakeResponse(409,
+                        "{\"refused\":\"no memory for imported state\"}\n");
   }
   const json::object body = ObjectOf(aRequest.body());
   const std::string prompt = StringOf(body, "prompt");
   this->cache.Add(PrefixBlocks(prompt));
-  this->imported[prompt] = static_cast<std::uint64_t>(IntegerOf(body, "count"));
-  return MakeReply(200, "{}\n");
+  this->importedTokens[prompt] =
+    static_cast<std::uint64_t>(IntegerOf(body, "count"));
+  return MakeResponse(200, "{}\n");
 }
 
-HttpReply
+HttpResponse
 Engine::Export(const HttpRequest& aRequest)
 {
   const json::object body = ObjectOf(aRequest.body());
-  const auto found = this->active.find(StringOf(body, "attempt"));
-  if (found == this->active.end() || this->faults.On("refuse_export")) {
-    return MakeReply(409, "{\"refused\":\"no such state\"}\n");
+  const auto found = this->activePrompts.find(StringOf(body, "attempt"));
+  if (found == this->activePrompts.end() ||
+      this->faults.IsOn("refuse_export")) {
+    return MakeResponse(409, "{\"refused\":\"no such state\"}\n");
   }
   const json::object state{ { "prompt", found->second },
                             { "count", IntegerOf(body, "count") } };
-  return MakeReply(200, json::serialize(state));
+  return MakeResponse(200, json::serialize(state));
 }
 
-HttpReply
-Engine::Order(const HttpRequest& aRequest)
+HttpResponse
+Engine::ApplyOrder(const HttpRequest& aRequest)
 {
   const json::object order = ObjectOf(aRequest.body());
   const auto fencing = static_cast<std::uint64_t>(IntegerOf(order, "fencing"));
-  const bool old = fencing < this->highestFencing;
-  if (old && !this->faults.On("ignore_fencing")) {
-    return MakeReply(409, "{\"refused\":\"old fencing number\"}\n");
+  const bool old = fencing < this->highestFence;
+  if (old && !this->faults.IsOn("ignore_fencing")) {
+    return MakeResponse(409, "{\"refused\":\"old fencing number\"}\n");
   }
-  this->highestFencing = std::max(this->highestFencing, fencing);
+  this->highestFence = std::max(this->highestFence, fencing);
   const std::string version = StringOf(order, "load");
   if (!version.empty()) {
     this->options.version = version;
   }
-  return MakeReply(200, "{}\n");
+  return MakeResponse(200, "{}\n");
 }
 
-HttpReply
+HttpResponse
 Engine::CacheEvents(std::string_view aTarget)
 {
-  const std::string after = QueryOf(aTarget, "after");
+  const std::string after = QueryParamOf(aTarget, "after");
   std::uint64_t from = 0;
   std::from_chars(after.data(), after.data() + after.size(), from);
   json::array events;
   const std::uint64_t newest =
     this->cache.Events().empty() ? 0 : this->cache.Events().back().number;
   const auto late =
-    static_cast<std::uint64_t>(this->faults.Number("late_cache_events"));
+    static_cast<std::uint64_t>(this->faults.Value("late_cache_events"));
   for (const auto& event : this->cache.Events()) {
     const bool held = late > 0 && event.number + late > newest;
     if (event.number <= from || held ||
-        this->faults.Strikes("lose_cache_event_percent")) {
+        this->faults.ShouldInject("lose_cache_event_percent")) {
       continue;
     }
     events.push_back(json::object{ { "number", event.number },
                                    { "block", std::to_string(event.block) },
                                    { "added", event.added } });
   }
-  return MakeReply(200, json::serialize(events));
+  return MakeResponse(200, json::serialize(events));
 }
 
 json::object
-Engine::LoadNow() const
+Engine::CurrentLoad() const
 {
   return json::object{
     { "incarnation", this->incarnation },
@@ -170,10 +173,10 @@
     { "running", this->running },
     { "waiting", this->waiting.size() },
     { "slots", this->options.slots },
-    { "leaving", this->faults.On("leaving") },
-    { "recomputed", this->sums.recomputed },
-    { "prompt_tokens", this->sums.prompt },
-    { "generated", this->sums.generated },
+    { "leaving", this->faults.IsOn("leaving") },
+    { "recomputed", this->totals.recomputedTokens },
+    { "prompt_tokens", this->totals.promptTokens },
+    { "generated", this->totals.generatedTokens },
   };
 }
 
@@ -182,35 +185,37 @@
 {
   while (true) {
     const auto lag =
-      static_cast<std::uint64_t>(this->faults.Number("load_lag_ms"));
-    co_await Sleep(std::chrono::milliseconds(this->options.loadLagMs + lag));
-    this->published = json::serialize(this->LoadNow());
+      static_cast<std::uint64_t>(this->faults.Value("load_lag_ms"));
+    co_await Sleep(
+      std::chrono::milliseconds(this->options.loadReportIntervalMs + lag));
+    this->publishedLoad = json::serialize(this->CurrentLoad());
   }
 }
 
 bool
-Engine::Bad() const
+Engine::IsDegraded() const
 {
-  const auto after = this->faults.Number("bad_after_s");
+  const auto after = this->faults.Value("bad_after_s");
   const auto age = std::chrono::steady_clock::now() - this->started;
   if (age < std::chrono::seconds(after)) {
     return false;
   }
-  const bool onlyUnderLoad = this->faults.On("bad_under_load");
+  const bool onlyUnderLoad = this->faults.IsOn("bad_under_load");
   return !onlyUnderLoad || this->running * 2 >= this->options.slots;
 }
 
 std::uint64_t
-Engine::StepMs() const
+Engine::CurrentStepMs() const
 {
-  const auto slow = this->faults.Number("slow_percent");
-  const std::uint64_t base = this->options.stepMs;
-  return this->Bad() && slow > 0 ? base * static_cast<std::uint64_t>(slow) / 100
-                                 : base;
+  const auto slow = this->faults.Value("slow_percent");
+  const std::uint64_t base = this->options.decodeStepMs;
+  return this->IsDegraded() && slow > 0
+           ? base * static_cast<std::uint64_t>(slow) / 100
+           : base;
 }
 
 Task<void>
-Engine::TakeSlot(std::int64_t aPriority)
+Engine::AcquireSlot(std::int64_t aPriority)
 {
   if (this->running < this->options.slots) {
     ++this->running;
@@ -219,22 +224,22 @@
   auto wake = std::make_shared<net::steady_timer>(this->worker.context);
   wake->expires_at(std::chrono::steady_clock::time_point::max());
   const auto place = std::find_if(
-    this->waiting.begin(), this->waiting.end(), [&](const Waiter& aOther) {
-      return aOther.priority < aPriority;
-    });
-  this->waiting.insert(place, Waiter{ aPriority, wake });
+    this->waiting.begin(),
+    this->waiting.end(),
+    [&](const WaitingRequest& aOther) { return aOther.priority < aPriority; });
+  this->waiting.insert(place, WaitingRequest{ aPriority, wake });
   boost::system::error_code woken;
   co_await wake->async_wait(net::redirect_error(net::use_awaitable, woken));
 }
 
 void
-Engine::FreeSlot()
+Engine::ReleaseSlot()
 {
   if (this->waiting.empty()) {
     --this->running;
     return;
   }
-  this->waiting.front().wake->cancel();
+  this->waiting.front().wakeTimer->cancel();
   this->waiting.pop_front();
 }
 
@@ -242,30 +247,30 @@
 Engine::Prefill(const Job& aJob)
 {
   const auto blocks = PrefixBlocks(aJob.prompt);
-  const std::uint64_t held = this->cache.Match(blocks) * kBlockWords;
+  const std::uint64_t held = this->cache.MatchPrefix(blocks) * kWordsPerBlock;
   const std::uint64_t words = CountWords(aJob.prompt) + aJob.resumeFrom;
   std::uint64_t fresh = words > held ? words - held : 0;
-  const auto state = this->imported.find(aJob.prompt);
-  if (state != this->imported.end() && state->second >= aJob.resumeFrom) {
+  const auto state = this->importedTokens.find(aJob.prompt);
+  if (state != this->importedTokens.end() && state->second >= aJob.resumeFrom) {
     fresh = 0;
-    this->imported.erase(state);
+    this->importedTokens.erase(state);
   }
   this->cache.Add(blocks);
-  this->sums.prompt += words;
-  this->sums.recomputed += aJob.resumeFrom > 0 ? fresh : 0;
-  std::uint64_t wait = fresh / this->options.prefillPerMs;
-  const auto slow = this->faults.Number("slow_percent");
-  if (this->Bad() && slow > 0) {
+  this->totals.promptTokens += words;
+  this->totals.recomputedTokens += aJob.resumeFrom > 0 ? fresh : 0;
+  std::uint64_t wait = fresh / this->options.prefillTokensPerMs;
+  const auto slow = this->faults.Value("slow_percent");
+  if (this->IsDegraded() && slow > 0) {
     wait = wait * static_cast<std::uint64_t>(slow) / 100;
   }
-  wait += static_cast<std::uint64_t>(this->faults.Number("delay_ms"));
+  wait += static_cast<std::uint64_t>(this->faults.Value("delay_ms"));
   co_await Sleep(std::chrono::milliseconds(wait));
 }
 
 Task<void>
-Engine::HangIfSilent(const Job& aJob)
+Engine::WaitWhileSilent(const Job& aJob)
 {
-  while (this->faults.TurnedOn("silent") != aJob.silentMark) {
+  while (this->faults.TimesTurnedOn("silent") != aJob.silentCountAtArrival) {
     co_await Sleep(std::chrono::milliseconds(200));
     if (this->cancelled.count(aJob.attempt) != 0) {
       co_return;
@@ -283,35 +288,35 @@
   job.maxTokens = static_cast<std::uint64_t>(IntegerOf(body, "max_tokens"));
   job.priority = IntegerOf(body, "priority");
   job.resumeFrom = static_cast<std::uint64_t>(IntegerOf(body, "resume_from"));
-  job.silentMark = this->faults.TurnedOn("silent");
-  const bool crashes = this->faults.On("crash") &&
-                       job.prompt.find(kCrashMark) != std::string::npos;
-  if (this->faults.On("leaving")) {
-    co_await aResponder.Send(MakeReply(503, "{\"refused\":\"leaving\"}\n"));
+  job.silentCountAtArrival = this->faults.TimesTurnedOn("silent");
+  const bool crashes = this->faults.IsOn("crash") &&
+                       job.prompt.find(kCrashMarker) != std::string::npos;
+  if (this->faults.IsOn("leaving")) {
+    co_await aResponder.Send(MakeResponse(503, "{\"refused\":\"leaving\"}\n"));
     co_return;
   }
-  if (this->Bad() && this->faults.Strikes("fail_percent")) {
-    co_await aResponder.Send(MakeReply(500, "{\"error\":\"internal\"}\n"));
+  if (this->IsDegraded() && this->faults.ShouldInject("fail_percent")) {
+    co_await aResponder.Send(MakeResponse(500, "{\"error\":\"internal\"}\n"));
     co_return;
   }
-  this->active[job.attempt] = job.prompt;
-  co_await this->TakeSlot(job.priority);
+  this->activePrompts[job.attempt] = job.prompt;
+  co_await this->AcquireSlot(job.priority);
   co_await this->Prefill(job);
   if (crashes) {
     _exit(3);
   }
-  co_await this->Run(job, aResponder);
-  this->FreeSlot();
-  this->active.erase(job.attempt);
+  co_await this->StreamResponse(job, aResponder);
+  this->ReleaseSlot();
+  this->activePrompts.erase(job.attempt);
   this->cancelled.erase(job.attempt);
 }
 
 Task<bool>
-Engine::Emit(const Job& aJob, HttpResponder& aResponder)
+Engine::StreamTokens(const Job& aJob, HttpResponder& aResponder)
 {
   for (std::uint64_t i = aJob.resumeFrom; i < aJob.maxTokens; ++i) {
-    co_await Sleep(std::chrono::milliseconds(this->StepMs()));
-    co_await this->HangIfSilent(aJob);
+    co_await Sleep(std::chrono::milliseconds(this->CurrentStepMs()));
+    co_await this->WaitWhileSilent(aJob);
     if (this->cancelled.count(aJob.attempt) != 0) {
       co_return false;
     }
@@ -319,19 +324,19 @@
                               { "offset", i },
                               { "token", TokenAt(aJob.prompt, i) } };
     std::string line = json::serialize(event) + "\n";
-    if (this->faults.Strikes("crossed_percent")) {
+    if (this->faults.ShouldInject("crossed_percent")) {
       const json::object other{ { "attempt", "another-attempt" },
                                 { "offset", i },
                                 { "token", "wrong " } };
       line = json::serialize(other) + "\n" + line;
     }
-    if (this->faults.Strikes("doubled_percent")) {
+    if (this->faults.ShouldInject("doubled_percent")) {
       line += line;
     }
-    if (this->faults.Strikes("cut_percent")) {
+    if (this->faults.ShouldInject("cut_percent")) {
       co_return false;
     }
-    ++this->sums.generated;
+    ++this->totals.generatedTokens;
     if (!co_await aResponder.Write(line)) {
       co_return false;
     }
@@ -340,16 +345,16 @@
 }
 
 Task<void>
-Engine::Run(Job aJob, HttpResponder& aResponder)
+Engine::StreamResponse(Job aJob, HttpResponder& aResponder)
 {
-  co_await this->HangIfSilent(aJob);
-  HttpReply head = MakeReply(200, {}, "application/x-ndjson");
+  co_await this->WaitWhileSilent(aJob);
+  HttpResponse head = MakeResponse(200, {}, "application/x-ndjson");
   head.set("Engine-Version", this->options.version);
   head.set("Engine-Incarnation", this->incarnation);
   if (!co_await aResponder.Begin(std::move(head))) {
     co_return;
   }
-  if (!co_await this->Emit(aJob, aResponder)) {
+  if (!co_await this->StreamTokens(aJob, aResponder)) {
     co_return;
   }
   const json::object last{ { "attempt", aJob.attempt },
--- a/standin/Engine.h
+++ b/standin/Engine.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "PrefixCache.h"
 #include "edge/HttpServer.h"
 #include "edge/Worker.h"
@@ -24,13 +24,13 @@
   std::string service;
   std::string version;
   std::string zone;
-  std::uint64_t slots = 8;         // sequences in one batch
-  std::uint64_t stepMs = 4;        // milliseconds between tokens
-  std::uint64_t prefillPerMs = 20; // prompt words taken in a millisecond
-  std::uint64_t cacheBlocks = 512; // blocks of prefix cache
-  std::uint64_t loadLagMs = 200;   // age of the load it reports
+  std::uint64_t slots = 8;               // sequences in one batch
+  std::uint64_t decodeStepMs = 4;        // milliseconds between tokens
+  std::uint64_t prefillTokensPerMs = 20; // prompt words taken in a millisecond
+  std::uint64_t cacheBlocks = 512;       // blocks of prefix cache
+  std::uint64_t loadReportIntervalMs = 200; // age of the load it reports
   std::uint64_t seed = 1;
-  std::string faultFromStart; // a switch that is on at once
+  std::string initialFault; // a switch that is on at once
 };
 
 /** Thread safety: none; runs on one worker. */
@@ -42,10 +42,10 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
 private:
-  struct Waiter
+  struct WaitingRequest
   {
     std::int64_t priority = 0;
-    std::shared_ptr<boost::asio::steady_timer> wake;
+    std::shared_ptr<boost::asio::steady_timer> wakeTimer;
   };
   struct Job
   {
@@ -54,45 +54,45 @@
     std::uint64_t maxTokens = 0;
     std::int64_t priority = 0;
     std::uint64_t resumeFrom = 0;
-    std::uint64_t silentMark = 0;
+    std::uint64_t silentCountAtArrival = 0;
   };
-  struct Sums
+  struct TokenTotals
   {
-    std::uint64_t recomputed = 0;
-    std::uint64_t prompt = 0;
-    std::uint64_t generated = 0;
+    std::uint64_t recomputedTokens = 0;
+    std::uint64_t promptTokens = 0;
+    std::uint64_t generatedTokens = 0;
   };
 
   Task<void> Generate(const HttpRequest& aRequest, HttpResponder& aResponder);
-  Task<void> Run(Job aJob, HttpResponder& aResponder);
-  Task<bool> Emit(const Job& aJob, HttpResponder& aResponder);
-  Task<void> TakeSlot(std::int64_t aPriority);
-  void FreeSlot();
+  Task<void> StreamResponse(Job aJob, HttpResponder& aResponder);
+  Task<bool> StreamTokens(const Job& aJob, HttpResponder& aResponder);
+  Task<void> AcquireSlot(std::int64_t aPriority);
+  void ReleaseSlot();
   Task<void> Prefill(const Job& aJob);
-  Task<void> HangIfSilent(const Job& aJob);
-  [[nodiscard]] bool Bad() const;
-  [[nodiscard]] std::uint64_t StepMs() const;
-  boost::json::object LoadNow() const;
+  Task<void> WaitWhileSilent(const Job& aJob);
+  [[nodiscard]] bool IsDegraded() const;
+  [[nodiscard]] std::uint64_t CurrentStepMs() const;
+  boost::json::object CurrentLoad() const;
   Task<void> PublishLoad();
-  HttpReply Order(const HttpRequest& aRequest);
-  HttpReply CacheEvents(std::string_view aTarget);
-  HttpReply Export(const HttpRequest& aRequest);
-  HttpReply Import(const HttpRequest& aRequest);
+  HttpResponse ApplyOrder(const HttpRequest& aRequest);
+  HttpResponse CacheEvents(std::string_view aTarget);
+  HttpResponse Export(const HttpRequest& aRequest);
+  HttpResponse Import(const HttpRequest& aRequest);
 
   Worker& worker;
   EngineOptions options;
-  Faults faults;
+  FaultSwitches faults;
   PrefixCache cache;
   std::string incarnation;
   std::uint64_t running = 0;
-  std::deque<Waiter> waiting;
-  std::map<std::string, std::string> active;     // prompts by attempt
-  std::map<std::string, std::uint64_t> imported; // tokens held by prompt
+  std::deque<WaitingRequest> waiting;
+  std::map<std::string, std::string> activePrompts;    // prompts by attempt
+  std::map<std::string, std::uint64_t> importedTokens; // tokens held by prompt
   std::set<std::string> cancelled;
-  std::string published;
-  std::uint64_t highestFencing = 0;
+  std::string publishedLoad;
+  std::uint64_t highestFence = 0;
   std::chrono::steady_clock::time_point started;
-  Sums sums;
+  TokenTotals totals;
 };
 
 } // namespace toucanshed::standin
--- a/standin/Instances.h
+++ b/standin/InstanceListServer.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "edge/HttpServer.h"
 
 #include <boost/json.hpp>
@@ -13,10 +13,10 @@
 namespace toucanshed::standin {
 
 /** Thread safety: none; runs on one worker. */
-class Instances
+class InstanceListServer
 {
 public:
-  explicit Instances(std::chrono::milliseconds aLag)
+  explicit InstanceListServer(std::chrono::milliseconds aLag)
     : lag(aLag)
     , faults(1)
   {
@@ -25,19 +25,19 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
 private:
-  struct View
+  struct Snapshot
   {
-    std::chrono::steady_clock::time_point since;
+    std::chrono::steady_clock::time_point publishedAt;
     std::string text;
   };
 
   void Publish();
-  std::string Seen();
+  std::string VisibleList();
 
   std::chrono::milliseconds lag;
-  Faults faults;
+  FaultSwitches faults;
   boost::json::object instances;
-  std::deque<View> views;
+  std::deque<Snapshot> snapshots;
 };
 
 } // namespace toucanshed::standin
--- a/standin/Load.cpp
+++ b/standin/LoadGenerator.cpp
@@ -1,7 +1,7 @@
-#include "Load.h"
+#include "LoadGenerator.h"
 
 #include "LoadHelpers.h"
-#include "ServiceAnswer.h"
+#include "PlainServiceResponse.h"
 #include "Tokens.h"
 
 #include <boost/json.hpp>
@@ -15,23 +15,23 @@
 
 namespace {
 
-constexpr int kMostTries = 6;
+constexpr int kMaxTries = 6;
 constexpr std::uint64_t kSharedPrefixes = 5;
-constexpr std::chrono::milliseconds kPollEvery{ 100 };
-constexpr std::chrono::seconds kReportDeadline{ 60 };
+constexpr std::chrono::milliseconds kPollInterval{ 100 };
+constexpr std::chrono::seconds kAsyncDeadline{ 60 };
 constexpr std::chrono::seconds kDrainDeadline{ 90 };
 
 } // namespace
 
-Load::Load(Worker& aWorker, LoadOptions aOptions)
+LoadGenerator::LoadGenerator(Worker& aWorker, LoadOptions aOptions)
   : worker(aWorker)
   , options(std::move(aOptions))
   , random(this->options.seed)
 {
 }
 
-Task<CallResult<HttpReply>>
-Load::Ask(HttpRequest aRequest)
+Task<CallResult<HttpResponse>>
+LoadGenerator::SendRequest(HttpRequest aRequest)
 {
   // On a new connection each time, so that the balancer spreads them.
   auto reply = co_await Fetch(this->worker,
@@ -42,16 +42,16 @@
   co_return reply;
 }
 
-Load::Chat
-Load::MakeChat(std::uint64_t aNumber, bool aStream)
+LoadGenerator::Chat
+LoadGenerator::MakeChat(std::uint64_t aNumber, bool aStream)
 {
   Chat chat;
   chat.team = aNumber % 4 == 0 ? "estimators" : "crews";
-  const std::uint64_t prefix = this->random.Below(kSharedPrefixes);
-  chat.prompt = WordsOf(prefix, 96) + "question " +
-                std::to_string(this->options.seed) + "-" +
-                std::to_string(aNumber) + " " + WordsOf(this->random.Next(), 8);
-  chat.maxTokens = 8 + this->random.Below(this->options.mostTokens - 8);
+  const std::uint64_t prefix = this->random.NextBelow(kSharedPrefixes);
+  chat.prompt =
+    RandomWords(prefix, 96) + "question " + std::to_string(this->options.seed) +
+    "-" + std::to_string(aNumber) + " " + RandomWords(this->random.Next(), 8);
+  chat.maxTokens = 8 + this->random.NextBelow(this->options.maxTokens - 8);
   const json::object message{ { "role", "user" }, { "content", chat.prompt } };
   const json::object body{ { "model", this->options.model },
                            { "stream", aStream },
@@ -62,7 +62,7 @@
 }
 
 HttpRequest
-Load::ChatRequest(const Chat& aChat) const
+LoadGenerator::ChatRequest(const Chat& aChat) const
 {
   HttpRequest request =
     MakeRequest(http::verb::post, "/v1/chat/completions", aChat.body);
@@ -73,50 +73,51 @@
   return request;
 }
 
-Load::Ending
-Load::EndingOf(unsigned aStatus, const http::fields& aHeaders)
+LoadGenerator::Outcome
+LoadGenerator::OutcomeOf(unsigned aStatus, const http::fields& aHeaders)
 {
   const std::string outcome = HeaderOf(aHeaders, "Toucanshed-Outcome");
   if (aStatus == 200 && (outcome == "completed" || outcome.empty())) {
-    return Ending::eCompleted;
+    return Outcome::eCompleted;
   }
   if (outcome == "not-run") {
-    return Ending::eNotRun;
+    return Outcome::eNotRun;
   }
-  return outcome == "may-have-run" ? Ending::eMayHaveRun : Ending::eCut;
+  return outcome == "may-have-run" ? Outcome::eMayHaveRun
+                                   : Outcome::eInterrupted;
 }
 
 Task<void>
-Load::WaitAsTold(const http::fields& aHeaders)
+LoadGenerator::WaitRetryAfter(const http::fields& aHeaders)
 {
   const std::string text = HeaderOf(aHeaders, "Retry-After");
   std::uint64_t seconds = 1;
   std::from_chars(text.data(), text.data() + text.size(), seconds);
   co_await Sleep(
-    std::chrono::milliseconds(seconds * 1000 + this->random.Below(200)));
+    std::chrono::milliseconds(seconds * 1000 + this->random.NextBelow(200)));
 }
 
 void
-Load::Count(Ending aEnding)
+LoadGenerator::CountOutcome(Outcome aEnding)
 {
   switch (aEnding) {
-    case Ending::eCompleted:
+    case Outcome::eCompleted:
       ++this->report.completed;
       break;
-    case Ending::eNotRun:
+    case Outcome::eNotRun:
       ++this->report.refusedNotRun;
       break;
-    case Ending::eMayHaveRun:
+    case Outcome::eMayHaveRun:
       ++this->report.mayHaveRun;
       break;
-    case Ending::eCut:
+    case Outcome::eInterrupted:
       ++this->report.failed;
       break;
   }
 }
 
 bool
-Load::TakeEvents(Chat& aChat, std::string& aBuffer, bool& aDone)
+LoadGenerator::ConsumeEvents(Chat& aChat, std::string& aBuffer, bool& aDone)
 {
   auto end = aBuffer.find("\n\n");
   while (end != std::string::npos) {
@@ -129,7 +130,7 @@
       continue;
     }
     if (event.starts_with("event: error")) {
-      aChat.refused = true;
+      aChat.streamError = true;
       continue;
     }
     const std::string data = event.substr(dataAt + 6);
@@ -153,8 +154,8 @@
   return true;
 }
 
-Task<Load::Ending>
-Load::StreamOnce(Chat& aChat)
+Task<LoadGenerator::Outcome>
+LoadGenerator::TryStreamed(Chat& aChat)
 {
   const auto start = std::chrono::steady_clock::now();
   auto last = start;
@@ -165,109 +166,109 @@
                                           ClientTimeouts(),
                                           true);
   if (!call) {
-    co_return Ending::eCut;
+    co_return Outcome::eInterrupted;
   }
   if (call->Status() != 200) {
-    const Ending ending = this->EndingOf(call->Status(), call->Headers());
-    if (ending == Ending::eNotRun) {
-      co_await this->WaitAsTold(call->Headers());
+    const Outcome ending = this->OutcomeOf(call->Status(), call->Headers());
+    if (ending == Outcome::eNotRun) {
+      co_await this->WaitRetryAfter(call->Headers());
     }
     co_return ending;
   }
   std::string buffer;
   bool done = false;
   while (true) {
-    auto piece = co_await call->ReadPiece();
+    auto piece = co_await call->ReadChunk();
     if (!piece) {
-      co_return Ending::eCut;
+      co_return Outcome::eInterrupted;
     }
     if (!piece->has_value()) {
       break;
     }
     buffer += **piece;
     const std::uint64_t before = aChat.received;
-    if (!this->TakeEvents(aChat, buffer, done)) {
+    if (!this->ConsumeEvents(aChat, buffer, done)) {
       ++this->report.wrongAnswers;
-      co_return Ending::eMayHaveRun;
+      co_return Outcome::eMayHaveRun;
     }
     if (aChat.received > before) {
-      TeamTimes& times = this->report.teams[aChat.team];
+      TeamLatencies& times = this->report.teams[aChat.team];
       auto& list = before == 0 ? times.firstToken : times.tokenGap;
       list.push_back(MsSince(last));
       last = std::chrono::steady_clock::now();
     }
   }
-  if (aChat.refused) {
-    co_return Ending::eMayHaveRun;
+  if (aChat.streamError) {
+    co_return Outcome::eMayHaveRun;
   }
   if (!done) {
-    co_return Ending::eCut;
+    co_return Outcome::eInterrupted;
   }
   if (aChat.received != aChat.maxTokens) {
     ++this->report.wrongAnswers;
   }
-  co_return Ending::eCompleted;
+  co_return Outcome::eCompleted;
 }
 
-Task<Load::Ending>
-Load::WholeOnce(Chat& aChat)
+Task<LoadGenerator::Outcome>
+LoadGenerator::TryBuffered(Chat& aChat)
 {
   HttpRequest request = this->ChatRequest(aChat);
-  auto reply = co_await this->Ask(std::move(request));
+  auto reply = co_await this->SendRequest(std::move(request));
   if (!reply) {
-    co_return Ending::eCut;
+    co_return Outcome::eInterrupted;
   }
-  const Ending ending = this->EndingOf(reply->result_int(), *reply);
-  if (ending == Ending::eCompleted) {
+  const Outcome ending = this->OutcomeOf(reply->result_int(), *reply);
+  if (ending == Outcome::eCompleted) {
     const std::string text = ContentOf(json::parse(reply->body()), "message");
-    if (text != WholeAnswer(aChat.prompt, aChat.maxTokens)) {
+    if (text != FullResponse(aChat.prompt, aChat.maxTokens)) {
       ++this->report.wrongAnswers;
     }
     this->report.tokens += aChat.maxTokens;
   }
-  if (ending == Ending::eNotRun) {
-    co_await this->WaitAsTold(*reply);
+  if (ending == Outcome::eNotRun) {
+    co_await this->WaitRetryAfter(*reply);
   }
   co_return ending;
 }
 
 Task<void>
-Load::RunChat(Chat aChat, bool aStream)
+LoadGenerator::RunChat(Chat aChat, bool aStream)
 {
-  Ending ending = Ending::eCut;
-  for (int tries = 0; tries < kMostTries; ++tries) {
-    if (tries > 0 && ending == Ending::eCut) {
-      ++this->report.resumed;
-      co_await Sleep(kPollEvery);
+  Outcome ending = Outcome::eInterrupted;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
+    if (tries > 0 && ending == Outcome::eInterrupted) {
+      ++this->report.resumedStreams;
+      co_await Sleep(kPollInterval);
     }
     if (aStream) {
-      ending = co_await this->StreamOnce(aChat);
+      ending = co_await this->TryStreamed(aChat);
     } else {
-      ending = co_await this->WholeOnce(aChat);
+      ending = co_await this->TryBuffered(aChat);
     }
-    if (ending == Ending::eCompleted || ending == Ending::eMayHaveRun) {
+    if (ending == Outcome::eCompleted || ending == Outcome::eMayHaveRun) {
       break;
     }
   }
-  this->Count(ending);
+  this->CountOutcome(ending);
 }
 
 Task<bool>
-Load::PollReport(const Chat& aChat, std::string aLocation)
+LoadGenerator::PollAsyncChat(const Chat& aChat, std::string aLocation)
 {
   const auto start = std::chrono::steady_clock::now();
-  while (std::chrono::steady_clock::now() - start < kReportDeadline) {
-    co_await Sleep(kPollEvery);
+  while (std::chrono::steady_clock::now() - start < kAsyncDeadline) {
+    co_await Sleep(kPollInterval);
     HttpRequest request = MakeRequest(http::verb::get, aLocation);
     request.set(http::field::authorization, "Bearer " + aChat.team + "-token");
-    auto reply = co_await this->Ask(std::move(request));
+    auto reply = co_await this->SendRequest(std::move(request));
     const bool ended =
       reply && HeaderOf(*reply, "Toucanshed-Outcome") == "completed";
     if (!ended) {
       continue;
     }
     const std::string text = ContentOf(json::parse(reply->body()), "message");
-    if (text != WholeAnswer(aChat.prompt, aChat.maxTokens)) {
+    if (text != FullResponse(aChat.prompt, aChat.maxTokens)) {
       ++this->report.wrongAnswers;
     }
     this->report.tokens += aChat.maxTokens;
@@ -277,16 +278,16 @@
 }
 
 Task<void>
-Load::RunReport(Chat aChat)
+LoadGenerator::RunAsyncChat(Chat aChat)
 {
-  Ending ending = Ending::eCut;
-  for (int tries = 0; tries < kMostTries; ++tries) {
+  Outcome ending = Outcome::eInterrupted;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
     HttpRequest request = this->ChatRequest(aChat);
     request.set("Prefer", "respond-async");
-    auto reply = co_await this->Ask(std::move(request));
+    auto reply = co_await this->SendRequest(std::move(request));
     if (reply && reply->result_int() == 202) {
       const bool whole =
-        co_await this->PollReport(aChat, HeaderOf(*reply, "Location"));
+        co_await this->PollAsyncChat(aChat, HeaderOf(*reply, "Location"));
       if (!whole) {
         ++this->report.lostAccepted;
       } else {
@@ -294,19 +295,19 @@
       }
       co_return;
     }
-    ending = Ending::eCut;
+    ending = Outcome::eInterrupted;
     if (reply) {
-      ending = this->EndingOf(reply->result_int(), *reply);
-      co_await this->WaitAsTold(*reply);
+      ending = this->OutcomeOf(reply->result_int(), *reply);
+      co_await this->WaitRetryAfter(*reply);
     } else {
-      co_await Sleep(kPollEvery);
+      co_await Sleep(kPollInterval);
     }
   }
-  this->Count(ending);
+  this->CountOutcome(ending);
 }
 
-Task<Load::Ending>
-Load::CallService(std::string aTarget, std::string aKey)
+Task<LoadGenerator::Outcome>
+LoadGenerator::CallService(std::string aTarget, std::string aKey)
 {
   const bool booking = !aKey.empty();
   const std::string body = booking ? "{\"crew\":7}" : "";
@@ -316,60 +317,61 @@
   if (booking) {
     request.set("Idempotency-Key", aKey);
   }
-  auto reply = co_await this->Ask(std::move(request));
+  auto reply = co_await this->SendRequest(std::move(request));
   if (!reply) {
-    co_return Ending::eCut;
+    co_return Outcome::eInterrupted;
   }
-  const Ending ending = this->EndingOf(reply->result_int(), *reply);
+  const Outcome ending = this->OutcomeOf(reply->result_int(), *reply);
   const std::string path =
     aTarget.substr(std::string("/svc/" + this->options.service).size());
-  if (ending == Ending::eCompleted &&
-      reply->body() != ServiceAnswer(path, body)) {
+  if (ending == Outcome::eCompleted &&
+      reply->body() != PlainServiceResponse(path, body)) {
     ++this->report.wrongAnswers;
   }
-  if (ending == Ending::eNotRun) {
-    co_await this->WaitAsTold(*reply);
+  if (ending == Outcome::eNotRun) {
+    co_await this->WaitRetryAfter(*reply);
   }
   co_return ending;
 }
 
 Task<void>
-Load::RunLookup(std::uint64_t aNumber)
+LoadGenerator::RunLookup(std::uint64_t aNumber)
 {
   const std::string target =
     "/svc/" + this->options.service + "/jobs/" + std::to_string(aNumber);
-  Ending ending = Ending::eCut;
-  for (int tries = 0; tries < kMostTries; ++tries) {
+  Outcome ending = Outcome::eInterrupted;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
     ending = co_await this->CallService(target, {});
-    if (ending == Ending::eCompleted) {
+    if (ending == Outcome::eCompleted) {
       break;
     }
   }
-  this->Count(ending);
+  this->CountOutcome(ending);
 }
 
 Task<void>
-Load::RunBooking(std::uint64_t aNumber)
+LoadGenerator::RunBooking(std::uint64_t aNumber)
 {
   const std::string target = "/svc/" + this->options.service + "/bookings";
   const std::string key = std::to_string(UnixSeconds()) + "-" +
                           std::to_string(this->options.seed) + "-" +
                           std::to_string(aNumber);
   Booking& booking = this->bookings[key];
-  Ending ending = Ending::eCut;
-  for (int tries = 0; tries < kMostTries; ++tries) {
+  Outcome ending = Outcome::eInterrupted;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
     ending = co_await this->CallService(target, key);
-    booking.allNotRun = booking.allNotRun && ending == Ending::eNotRun;
-    booking.anyCompleted = booking.anyCompleted || ending == Ending::eCompleted;
-    if (ending == Ending::eCompleted || ending == Ending::eMayHaveRun) {
+    booking.allNotRun = booking.allNotRun && ending == Outcome::eNotRun;
+    booking.anyCompleted =
+      booking.anyCompleted || ending == Outcome::eCompleted;
+    if (ending == Outcome::eCompleted || ending == Outcome::eMayHaveRun) {
       break;
     }
   }
-  this->Count(ending);
+  this->CountOutcome(ending);
 }
 
 Task<void>
-Load::RunPoison(std::uint64_t aNumber)
+LoadGenerator::RunPoisonRequest(std::uint64_t aNumber)
 {
   Chat chat = this->MakeChat(aNumber, false);
   const json::object message{
@@ -381,25 +383,25 @@
   chat.body = json::serialize(body);
   for (int sends = 0; sends < 3; ++sends) {
     HttpRequest request = this->ChatRequest(chat);
-    auto reply = co_await this->Ask(std::move(request));
+    auto reply = co_await this->SendRequest(std::move(request));
     if (reply &&
-        this->EndingOf(reply->result_int(), *reply) == Ending::eCompleted) {
+        this->OutcomeOf(reply->result_int(), *reply) == Outcome::eCompleted) {
       ++this->report.wrongAnswers;
     }
   }
 }
 
 Task<void>
-Load::One(std::uint64_t aNumber)
+LoadGenerator::RunRequest(std::uint64_t aNumber)
 {
   ++this->report.sent;
-  const std::uint64_t kind = this->random.Below(20);
+  const std::uint64_t kind = this->random.NextBelow(20);
   if (kind < 11) {
     co_await this->RunChat(this->MakeChat(aNumber, true), true);
   } else if (kind < 13) {
     co_await this->RunChat(this->MakeChat(aNumber, false), false);
   } else if (kind < 14) {
-    co_await this->RunReport(this->MakeChat(aNumber, false));
+    co_await this->RunAsyncChat(this->MakeChat(aNumber, false));
   } else if (kind < 17) {
     co_await this->RunLookup(aNumber);
   } else {
@@ -409,10 +411,10 @@
 }
 
 Task<void>
-Load::CheckCounts()
+LoadGenerator::CheckExecutions()
 {
   std::map<std::string, std::uint64_t> executions;
-  for (const Endpoint& service : this->options.services) {
+  for (const Endpoint& service : this->options.serviceEndpoints) {
     HttpRequest request = MakeRequest(http::verb::get, "/counts");
     auto reply = co_await Fetch(
       this->worker, service, std::move(request), ClientTimeouts(), true);
@@ -435,7 +437,7 @@
 }
 
 Task<void>
-Load::Run()
+LoadGenerator::Run()
 {
   const auto start = std::chrono::steady_clock::now();
   const auto end = start + std::chrono::seconds(this->options.seconds);
@@ -444,7 +446,7 @@
   std::uint64_t number = 0;
   while (due < end) {
     const double wait =
-      -std::log(1.0 - this->random.Unit()) / this->options.ratePerSecond;
+      -std::log(1.0 - this->random.NextUnit()) / this->options.ratePerSecond;
     due += std::chrono::microseconds(static_cast<std::int64_t>(wait * 1e6));
     const auto now = std::chrono::steady_clock::now();
     if (due > now) {
@@ -453,10 +455,10 @@
     }
     ++number;
     ++this->outstanding;
-    this->worker.Spawn(this->One(number));
-    if (this->options.poison > 0 && number % 40 == 0) {
-      --this->options.poison;
-      this->worker.Spawn(this->RunPoison(number));
+    this->worker.Spawn(this->RunRequest(number));
+    if (this->options.poisonRequests > 0 && number % 40 == 0) {
+      --this->options.poisonRequests;
+      this->worker.Spawn(this->RunPoisonRequest(number));
     }
     if (std::chrono::steady_clock::now() > nextLine) {
       nextLine += std::chrono::seconds(5);
@@ -467,10 +469,10 @@
   }
   const auto drain = std::chrono::steady_clock::now() + kDrainDeadline;
   while (this->outstanding > 0 && std::chrono::steady_clock::now() < drain) {
-    co_await Sleep(kPollEvery);
+    co_await Sleep(kPollInterval);
   }
   this->report.failed += this->outstanding;
-  co_await this->CheckCounts();
+  co_await this->CheckExecutions();
 }
 
 } // namespace toucanshed::standin
