--- a/standin/Load.h
+++ b/standin/LoadGenerator.h
@@ -20,21 +20,22 @@
 struct LoadOptions
 {
   Endpoint target;
-  std::vector<Endpoint> services; // asked for their counts at the end
+  std::vector<Endpoint> serviceEndpoints; // asked for their counts at the end
   std::uint64_t seconds = 10;
   double ratePerSecond = 40;
   std::uint64_t seed = 1;
-  std::uint64_t mostTokens = 48; // of a model answer
-  std::uint64_t poison = 0; // requests that crash engines, each sent thrice
+  std::uint64_t maxTokens = 48; // of a model answer
+  std::uint64_t poisonRequests =
+    0; // requests that crash engines, each sent thrice
   std::string model = "survey";
   std::string service = "jobdesk";
 };
 
 /** Thread safety: none; runs on one worker. */
-class Load
+class LoadGenerator
 {
 public:
-  Load(Worker& aWorker, LoadOptions aOptions);
+  LoadGenerator(Worker& aWorker, LoadOptions aOptions);
 
   /** Runs the whole load, waits for what is outstanding, checks the counts of
    * the services. */
@@ -44,12 +45,12 @@
 
 private:
   /** What came of one request sent once. */
-  enum class Ending
+  enum class Outcome
   {
     eCompleted,
     eNotRun,
     eMayHaveRun,
-    eCut, // no answer, or one that broke off
+    eInterrupted, // no answer, or one that broke off
   };
   struct Chat
   {
@@ -59,7 +60,7 @@
     std::string body;
     std::uint64_t received = 0;
     std::string lastEventId;
-    bool refused = false; // the stream said that it cannot be completed
+    bool streamError = false; // the stream said that it cannot be completed
   };
   struct Booking
   {
@@ -68,22 +69,22 @@
   };
 
   /** Sends one request to the balancer and reads the whole answer. */
-  Task<CallResult<HttpReply>> Ask(HttpRequest aRequest);
-  Task<void> One(std::uint64_t aNumber);
+  Task<CallResult<HttpResponse>> SendRequest(HttpRequest aRequest);
+  Task<void> RunRequest(std::uint64_t aNumber);
   Task<void> RunChat(Chat aChat, bool aStream);
-  Task<Ending> StreamOnce(Chat& aChat);
-  Task<Ending> WholeOnce(Chat& aChat);
-  bool TakeEvents(Chat& aChat, std::string& aBuffer, bool& aDone);
-  Task<void> RunReport(Chat aChat);
-  Task<bool> PollReport(const Chat& aChat, std::string aLocation);
+  Task<Outcome> TryStreamed(Chat& aChat);
+  Task<Outcome> TryBuffered(Chat& aChat);
+  bool ConsumeEvents(Chat& aChat, std::string& aBuffer, bool& aDone);
+  Task<void> RunAsyncChat(Chat aChat);
+  Task<bool> PollAsyncChat(const Chat& aChat, std::string aLocation);
   Task<void> RunLookup(std::uint64_t aNumber);
   Task<void> RunBooking(std::uint64_t aNumber);
-  Task<Ending> CallService(std::string aTarget, std::string aKey);
-  Task<void> RunPoison(std::uint64_t aNumber);
-  Task<void> CheckCounts();
-  void Count(Ending aEnding);
-  Ending EndingOf(unsigned aStatus, const http::fields& aHeaders);
-  Task<void> WaitAsTold(const http::fields& aHeaders);
+  Task<Outcome> CallService(std::string aTarget, std::string aKey);
+  Task<void> RunPoisonRequest(std::uint64_t aNumber);
+  Task<void> CheckExecutions();
+  void CountOutcome(Outcome aEnding);
+  Outcome OutcomeOf(unsigned aStatus, const http::fields& aHeaders);
+  Task<void> WaitRetryAfter(const http::fields& aHeaders);
   HttpRequest ChatRequest(const Chat& aChat) const;
   Chat MakeChat(std::uint64_t aNumber, bool aStream);
 
--- a/standin/LoadHelpers.cpp
+++ b/standin/LoadHelpers.cpp
@@ -9,12 +9,12 @@
 namespace json = boost::json;
 
 std::string
-WordsOf(std::uint64_t aSeed, std::uint64_t aCount)
+RandomWords(std::uint64_t aSeed, std::uint64_t aCount)
 {
   Random random(aSeed);
   std::string text;
   for (std::uint64_t i = 0; i < aCount; ++i) {
-    text += "word" + std::to_string(random.Below(1000)) + " ";
+    text += "word" + std::to_string(random.NextBelow(1000)) + " ";
   }
   return text;
 }
@@ -41,7 +41,7 @@
 {
   CallTimeouts timeouts;
   timeouts.head = std::chrono::seconds(20);
-  timeouts.gap = std::chrono::seconds(20);
+  timeouts.bodyIdle = std::chrono::seconds(20);
   return timeouts;
 }
 
--- a/standin/LoadHelpers.h
+++ b/standin/LoadHelpers.h
@@ -14,7 +14,7 @@
 
 /** aCount words, the same for the same seed. */
 std::string
-WordsOf(std::uint64_t aSeed, std::uint64_t aCount);
+RandomWords(std::uint64_t aSeed, std::uint64_t aCount);
 
 /** Seconds since the epoch. */
 std::uint64_t
--- a/standin/LoadReport.cpp
+++ b/standin/LoadReport.cpp
@@ -37,19 +37,19 @@
     { "doubled_executions", aReport.doubledExecutions },
     { "false_not_run", aReport.falseNotRun },
     { "missing_executions", aReport.missingExecutions },
-    { "resumed_streams", aReport.resumed },
+    { "resumed_streams", aReport.resumedStreams },
     { "tokens", aReport.tokens },
   };
 }
 
 constexpr double kMedian = 0.5;
-constexpr double kMost = 0.95;
-constexpr double kNearlyAll = 0.99;
+constexpr double kP95 = 0.95;
+constexpr double kP99 = 0.99;
 
 } // namespace
 
 bool
-LoadReport::PromisesKept() const
+LoadReport::GuaranteesHold() const
 {
   return this->wrongAnswers == 0 && this->lostAccepted == 0 &&
          this->doubledExecutions == 0 && this->falseNotRun == 0 &&
@@ -70,12 +70,12 @@
     text << std::left << std::setw(14) << team << std::right << std::fixed
          << std::setprecision(1) << std::setw(12)
          << Quantile(times.firstToken, kMedian) << std::setw(8)
-         << Quantile(times.firstToken, kMost) << std::setw(8)
-         << Quantile(times.firstToken, kNearlyAll) << std::setw(12)
+         << Quantile(times.firstToken, kP95) << std::setw(8)
+         << Quantile(times.firstToken, kP99) << std::setw(12)
          << Quantile(times.tokenGap, kMedian) << std::setw(8)
-         << Quantile(times.tokenGap, kMost) << "\n";
+         << Quantile(times.tokenGap, kP95) << "\n";
   }
-  text << "promises " << (this->PromisesKept() ? "kept" : "BROKEN") << "\n";
+  text << "promises " << (this->GuaranteesHold() ? "kept" : "BROKEN") << "\n";
   return text.str();
 }
 
@@ -83,15 +83,15 @@
 LoadReport::ToJson() const
 {
   json::object report = Counts(*this);
-  report["promises_kept"] = this->PromisesKept();
+  report["promises_kept"] = this->GuaranteesHold();
   json::object perTeam;
   for (const auto& [team, times] : this->teams) {
     perTeam[team] = json::object{
       { "first_token_p50_ms", Quantile(times.firstToken, kMedian) },
-      { "first_token_p95_ms", Quantile(times.firstToken, kMost) },
-      { "first_token_p99_ms", Quantile(times.firstToken, kNearlyAll) },
+      { "first_token_p95_ms", Quantile(times.firstToken, kP95) },
+      { "first_token_p99_ms", Quantile(times.firstToken, kP99) },
       { "token_gap_p50_ms", Quantile(times.tokenGap, kMedian) },
-      { "token_gap_p95_ms", Quantile(times.tokenGap, kMost) },
+      { "token_gap_p95_ms", Quantile(times.tokenGap, kP95) },
     };
   }
   report["teams"] = perTeam;
--- a/standin/LoadReport.h
+++ b/standin/LoadReport.h
@@ -11,7 +11,7 @@
 namespace toucanshed::standin {
 
 /** Times in milliseconds. */
-struct TeamTimes
+struct TeamLatencies
 {
   std::vector<double> firstToken;
   std::vector<double> tokenGap;
@@ -29,11 +29,11 @@
   std::uint64_t doubledExecutions = 0;
   std::uint64_t falseNotRun = 0;       // "not run", yet executed
   std::uint64_t missingExecutions = 0; // "completed", yet never executed
-  std::uint64_t resumed = 0;           // streams picked up again after a cut
+  std::uint64_t resumedStreams = 0;    // streams picked up again after a cut
   std::uint64_t tokens = 0;
-  std::map<std::string, TeamTimes> teams;
+  std::map<std::string, TeamLatencies> teams;
 
-  [[nodiscard]] bool PromisesKept() const;
+  [[nodiscard]] bool GuaranteesHold() const;
   [[nodiscard]] std::string ToTable() const;
   [[nodiscard]] std::string ToJson() const;
 };
--- a/standin/Log.h
+++ b/standin/LogServer.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "base/Types.h"
 #include "edge/HttpServer.h"
 #include "edge/Worker.h"
@@ -21,15 +21,15 @@
 struct LogOptions
 {
   std::uint64_t appendsPerSecond = 500;
-  std::uint64_t keptRecords = 1000000; // per stream
+  std::uint64_t maxRecordsPerStream = 1000000; // per stream
   std::uint64_t seed = 1;
 };
 
 /** Thread safety: none; runs on one worker. */
-class Log
+class LogServer
 {
 public:
-  Log(Worker& aWorker, LogOptions aOptions)
+  LogServer(Worker& aWorker, LogOptions aOptions)
     : worker(aWorker)
     , options(aOptions)
     , faults(aOptions.seed)
@@ -39,14 +39,14 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
 private:
-  using Waiter = std::shared_ptr<boost::asio::steady_timer>;
+  using ReaderTimer = std::shared_ptr<boost::asio::steady_timer>;
   struct Stream
   {
     std::deque<std::string> payloads;
     std::uint64_t earliest = 1;
-    std::list<Waiter> readers;
+    std::list<ReaderTimer> waitingReaders;
 
-    [[nodiscard]] std::uint64_t Next() const
+    [[nodiscard]] std::uint64_t NextOffset() const
     {
       return this->earliest + this->payloads.size();
     }
@@ -54,16 +54,18 @@
 
   Task<void> Append(const HttpRequest& aRequest, HttpResponder& aResponder);
   Task<void> Read(const HttpRequest& aRequest, HttpResponder& aResponder);
-  Task<void> AppendLater(std::string aName, std::string aPayload, Millis aWait);
-  std::uint64_t Store(Stream& aStream, std::string aPayload);
-  bool OverRate();
+  Task<void> AppendAfterDelay(std::string aName,
+                              std::string aPayload,
+                              Millis aWait);
+  std::uint64_t AppendRecord(Stream& aStream, std::string aPayload);
+  bool ExceedsRate();
 
   Worker& worker;
   LogOptions options;
-  Faults faults;
+  FaultSwitches faults;
   std::map<std::string, Stream> streams;
-  std::int64_t rateSecond = 0;
-  std::uint64_t rateCount = 0;
+  std::int64_t currentSecond = 0;
+  std::uint64_t appendsThisSecond = 0;
   std::uint64_t appends = 0;
 };
 
--- a/standin/Service.h
+++ b/standin/PlainService.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "edge/HttpServer.h"
 
 #include <map>
@@ -11,10 +11,10 @@
 namespace toucanshed::standin {
 
 /** Thread safety: none; runs on one worker. */
-class Service
+class PlainService
 {
 public:
-  explicit Service(std::uint64_t aSeed)
+  explicit PlainService(std::uint64_t aSeed)
     : faults(aSeed)
   {
   }
@@ -23,9 +23,9 @@
 
 private:
   Task<void> Execute(const HttpRequest& aRequest, HttpResponder& aResponder);
-  [[nodiscard]] HttpReply Counts() const;
+  [[nodiscard]] HttpResponse ExecutionCounts() const;
 
-  Faults faults;
+  FaultSwitches faults;
   std::map<std::string, std::uint64_t> executions;
 };
 
--- a/standin/ServiceAnswer.h
+++ b/standin/PlainServiceResponse.h
@@ -11,9 +11,9 @@
 namespace toucanshed::standin {
 
 inline std::string
-ServiceAnswer(std::string_view aTarget, std::string_view aBody)
+PlainServiceResponse(std::string_view aTarget, std::string_view aBody)
 {
-  const std::uint64_t proof = MixHash(Hash64(aTarget), Hash64(aBody));
+  const std::uint64_t proof = CombineHashes(Hash64(aTarget), Hash64(aBody));
   return "{\"proof\":\"" + std::to_string(proof) + "\"}\n";
 }
 
--- a/standin/PrefixCache.cpp
+++ b/standin/PrefixCache.cpp
@@ -3,28 +3,28 @@
 namespace toucanshed::standin {
 
 namespace {
-constexpr std::size_t kMostEvents = 4096;
+constexpr std::size_t kMaxEvents = 4096;
 }
 
 void
-PrefixCache::Note(std::uint64_t aBlock, bool aAdded)
+PrefixCache::RecordEvent(std::uint64_t aBlock, bool aAdded)
 {
-  this->events.push_back(CacheEvent{ ++this->lastEvent, aBlock, aAdded });
-  if (this->events.size() > kMostEvents) {
+  this->events.push_back(CacheEvent{ ++this->lastEventNumber, aBlock, aAdded });
+  if (this->events.size() > kMaxEvents) {
     this->events.pop_front();
   }
 }
 
 std::size_t
-PrefixCache::Match(const std::vector<std::uint64_t>& aBlocks)
+PrefixCache::MatchPrefix(const std::vector<std::uint64_t>& aBlocks)
 {
   std::size_t matched = 0;
   for (const std::uint64_t block : aBlocks) {
-    const auto found = this->held.find(block);
-    if (found == this->held.end()) {
+    const auto found = this->cachedBlocks.find(block);
+    if (found == this->cachedBlocks.end()) {
       break;
     }
-    this->order.splice(this->order.begin(), this->order, found->second);
+    this->recency.splice(this->recency.begin(), this->recency, found->second);
     ++matched;
   }
   return matched;
@@ -34,17 +34,17 @@
 PrefixCache::Add(const std::vector<std::uint64_t>& aBlocks)
 {
   for (const std::uint64_t block : aBlocks) {
-    if (this->held.count(block) != 0) {
+    if (this->cachedBlocks.count(block) != 0) {
       continue;
     }
-    this->order.push_front(block);
-    this->held[block] = this->order.begin();
-    this->Note(block, true);
-    if (this->order.size() > this->mostBlocks) {
-      const std::uint64_t oldest = this->order.back();
-      this->order.pop_back();
-      this->held.erase(oldest);
-      this->Note(oldest, false);
+    this->recency.push_front(block);
+    this->cachedBlocks[block] = this->recency.begin();
+    this->RecordEvent(block, true);
+    if (this->recency.size() > this->maxBlocks) {
+      const std::uint64_t oldest = this->recency.back();
+      this->recency.pop_back();
+      this->cachedBlocks.erase(oldest);
+      this->RecordEvent(oldest, false);
     }
   }
 }
--- a/standin/PrefixCache.h
+++ b/standin/PrefixCache.h
@@ -16,12 +16,12 @@
 {
 public:
   explicit PrefixCache(std::size_t aMostBlocks)
-    : mostBlocks(aMostBlocks)
+    : maxBlocks(aMostBlocks)
   {
   }
 
   /** How many leading blocks are held; marks them as used. */
-  std::size_t Match(const std::vector<std::uint64_t>& aBlocks);
+  std::size_t MatchPrefix(const std::vector<std::uint64_t>& aBlocks);
   void Add(const std::vector<std::uint64_t>& aBlocks);
 
   struct CacheEvent
@@ -37,13 +37,14 @@
   }
 
 private:
-  void Note(std::uint64_t aBlock, bool aAdded);
+  void RecordEvent(std::uint64_t aBlock, bool aAdded);
 
-  std::size_t mostBlocks;
-  std::list<std::uint64_t> order;
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> held;
+  std::size_t maxBlocks;
+  std::list<std::uint64_t> recency;
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
+    cachedBlocks;
   std::list<CacheEvent> events;
-  std::uint64_t lastEvent = 0;
+  std::uint64_t lastEventNumber = 0;
 };
 
 } // namespace toucanshed::standin
--- a/standin/Tokens.cpp
+++ b/standin/Tokens.cpp
@@ -15,7 +15,7 @@
 }
 
 std::string
-WholeAnswer(std::string_view aPrompt, std::uint64_t aCount)
+FullResponse(std::string_view aPrompt, std::uint64_t aCount)
 {
   std::string text;
   for (std::uint64_t i = 0; i < aCount; ++i) {
@@ -34,7 +34,7 @@
       continue;
     }
     ++words;
-    if (words % kBlockWords == 0) {
+    if (words % kWordsPerBlock == 0) {
       blocks.push_back(Hash64(aPrompt.substr(0, i)));
     }
   }
--- a/standin/Tokens.h
+++ b/standin/Tokens.h
@@ -17,7 +17,7 @@
 
 /** The first aCount tokens run together. */
 std::string
-WholeAnswer(std::string_view aPrompt, std::uint64_t aCount);
+FullResponse(std::string_view aPrompt, std::uint64_t aCount);
 
 /** Hashes of the prompt's prefixes, one per block of words. */
 std::vector<std::uint64_t>
@@ -28,6 +28,6 @@
 CountWords(std::string_view aText);
 
 /** Words in one block of the prefix cache. */
-constexpr std::uint64_t kBlockWords = 16;
+constexpr std::uint64_t kWordsPerBlock = 16;
 
 } // namespace toucanshed::standin
--- a/standin/Weights.h
+++ b/standin/WeightStore.h
@@ -3,18 +3,18 @@
  */
 #pragma once
 
-#include "Faults.h"
+#include "FaultSwitches.h"
 #include "edge/HttpServer.h"
 
 namespace toucanshed::standin {
 
 /** Thread safety: none; runs on one worker. */
-class Weights
+class WeightStore
 {
 public:
   /** \param aPerSecond fetches begun in one second before 429. */
-  Weights(std::uint64_t aPerSecond, std::uint64_t aSeed)
-    : perSecond(aPerSecond)
+  WeightStore(std::uint64_t aPerSecond, std::uint64_t aSeed)
+    : maxFetchesPerSecond(aPerSecond)
     , faults(aSeed)
   {
   }
@@ -22,10 +22,10 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
 private:
-  std::uint64_t perSecond;
-  Faults faults;
-  std::int64_t second = 0;
-  std::uint64_t begun = 0;
+  std::uint64_t maxFetchesPerSecond;
+  FaultSwitches faults;
+  std::int64_t currentSecond = 0;
+  std::uint64_t fetchesThisSecond = 0;
 };
 
 } // namespace toucanshed::standin
--- a/standin/main/main.cpp
+++ b/standin/main/main.cpp
@@ -6,11 +6,11 @@
 #include "standin/Balancer.h"
 #include "standin/Cloud.h"
 #include "standin/Engine.h"
-#include "standin/Instances.h"
-#include "standin/Load.h"
-#include "standin/Log.h"
-#include "standin/Service.h"
-#include "standin/Weights.h"
+#include "standin/InstanceListServer.h"
+#include "standin/LoadGenerator.h"
+#include "standin/LogServer.h"
+#include "standin/PlainService.h"
+#include "standin/WeightStore.h"
 
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -27,7 +27,7 @@
   "lists its options. Fault switches: POST /faults {\"NAME\": NUMBER}.\n";
 
 Endpoint
-EndpointOption(const std::string& aText)
+ParseEndpointOrExit(const std::string& aText)
 {
   const auto endpoint = ParseEndpoint(aText);
   if (!endpoint) {
@@ -39,10 +39,10 @@
 
 template<typename Node>
 int
-ServeOn(WorkerPool& aPool, Node& aNode, const Endpoint& aListen)
+RunServer(WorkerPool& aPool, Node& aNode, const Endpoint& aListen)
 {
   HttpLimits limits;
-  limits.bodyBytes = 16U << 20U;
+  limits.maxBodyBytes = 16U << 20U;
   const auto handler =
     [&aNode](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
       return aNode.Handle(aRequest, aResponder);
@@ -124,13 +124,14 @@
   std::vector<BalancerTarget> targets;
   for (const auto& pair : aGiven["targets"].as<std::vector<std::string>>()) {
     const auto slash = pair.find('/');
-    targets.push_back(BalancerTarget{ EndpointOption(pair.substr(0, slash)),
-                                      EndpointOption(pair.substr(slash + 1)) });
+    targets.push_back(
+      BalancerTarget{ ParseEndpointOrExit(pair.substr(0, slash)),
+                      ParseEndpointOrExit(pair.substr(slash + 1)) });
   }
   WorkerPool pool(1);
   Balancer balancer(pool.First(), targets);
   const auto listening =
-    balancer.Listen(EndpointOption(aGiven["listen"].as<std::string>()));
+    balancer.Listen(ParseEndpointOrExit(aGiven["listen"].as<std::string>()));
   if (!listening) {
     std::cerr << "standin: " << listening.error().message << "\n";
     return 1;
@@ -143,21 +144,21 @@
 RunLoad(const cxxopts::ParseResult& aGiven)
 {
   LoadOptions options;
-  options.target = EndpointOption(aGiven["target"].as<std::string>());
+  options.target = ParseEndpointOrExit(aGiven["target"].as<std::string>());
   if (aGiven.count("services") != 0) {
     for (const auto& text : aGiven["services"].as<std::vector<std::string>>()) {
-      options.services.push_back(EndpointOption(text));
+      options.serviceEndpoints.push_back(ParseEndpointOrExit(text));
     }
   }
   options.seconds = aGiven["seconds"].as<std::uint64_t>();
   options.ratePerSecond = aGiven["rate"].as<double>();
   options.seed = aGiven["seed"].as<std::uint64_t>();
-  options.poison = aGiven["poison"].as<std::uint64_t>();
-  options.mostTokens =
+  options.poisonRequests = aGiven["poison"].as<std::uint64_t>();
+  options.maxTokens =
     std::max<std::uint64_t>(9, aGiven["tokens"].as<std::uint64_t>());
   WorkerPool pool(1);
-  Load load(pool.First(), options);
-  pool.First().Spawn([](Load& aLoad, WorkerPool& aPool) -> Task<void> {
+  LoadGenerator load(pool.First(), options);
+  pool.First().Spawn([](LoadGenerator& aLoad, WorkerPool& aPool) -> Task<void> {
     co_await aLoad.Run();
     aPool.Stop();
   }(load, pool));
@@ -167,7 +168,7 @@
     std::ofstream file(aGiven["report"].as<std::string>());
     file << load.Report().ToJson();
   }
-  return load.Report().PromisesKept() ? 0 : 1;
+  return load.Report().GuaranteesHold() ? 0 : 1;
 }
 
 int
@@ -179,50 +180,52 @@
   options.version = aGiven["version"].as<std::string>();
   options.zone = aGiven["zone"].as<std::string>();
   options.slots = aGiven["slots"].as<std::uint64_t>();
-  options.stepMs = aGiven["step-ms"].as<std::uint64_t>();
+  options.decodeStepMs = aGiven["step-ms"].as<std::uint64_t>();
   options.seed = aGiven["seed"].as<std::uint64_t>();
   if (aGiven.count("fault") != 0) {
-    options.faultFromStart = aGiven["fault"].as<std::string>();
+    options.initialFault = aGiven["fault"].as<std::string>();
   }
   WorkerPool pool(1);
   Engine engine(pool.First(), options);
-  return ServeOn(pool, engine, aListen);
+  return RunServer(pool, engine, aListen);
 }
 
 int
-RunNode(const std::string& aCommand, const cxxopts::ParseResult& aGiven)
+RunServerCommand(const std::string& aCommand,
+                 const cxxopts::ParseResult& aGiven)
 {
-  const Endpoint listen = EndpointOption(aGiven["listen"].as<std::string>());
+  const Endpoint listen =
+    ParseEndpointOrExit(aGiven["listen"].as<std::string>());
   const std::uint64_t seed = aGiven["seed"].as<std::uint64_t>();
   if (aCommand == "engine") {
     return RunEngine(aGiven, listen);
   }
   WorkerPool pool(1);
   if (aCommand == "service") {
-    Service service(seed);
-    return ServeOn(pool, service, listen);
+    PlainService service(seed);
+    return RunServer(pool, service, listen);
   }
   if (aCommand == "log") {
     LogOptions options;
     options.appendsPerSecond = aGiven["rate"].as<std::uint64_t>();
-    options.keptRecords = aGiven["keep"].as<std::uint64_t>();
+    options.maxRecordsPerStream = aGiven["keep"].as<std::uint64_t>();
     options.seed = seed;
-    Log log(pool.First(), options);
-    return ServeOn(pool, log, listen);
+    LogServer log(pool.First(), options);
+    return RunServer(pool, log, listen);
   }
   if (aCommand == "instances") {
-    Instances instances(
+    InstanceListServer instances(
       std::chrono::milliseconds(aGiven["lag-ms"].as<std::uint64_t>()));
-    return ServeOn(pool, instances, listen);
+    return RunServer(pool, instances, listen);
   }
   if (aCommand == "cloud") {
     Cloud cloud(seed);
-    return ServeOn(pool, cloud, listen);
+    return RunServer(pool, cloud, listen);
   }
   if (aCommand == "weights") {
     constexpr std::uint64_t kFetchesPerSecond = 2;
-    Weights weights(kFetchesPerSecond, seed);
-    return ServeOn(pool, weights, listen);
+    WeightStore weights(kFetchesPerSecond, seed);
+    return RunServer(pool, weights, listen);
   }
   std::cerr << kUsage;
   return 2;
@@ -247,7 +250,8 @@
     if (command == "balancer") {
       return RunBalancer(given);
     }
-    return command == "load" ? RunLoad(given) : RunNode(command, given);
+    return command == "load" ? RunLoad(given)
+                             : RunServerCommand(command, given);
   } catch (const cxxopts::exceptions::exception& error) {
     std::cerr << "standin: " << error.what() << "\n";
     return 2;
--- a/standin/platform/Cloud.cpp
+++ b/standin/platform/Cloud.cpp
@@ -13,14 +13,14 @@
   call.holder = HeaderOf(aRequest, "Duty-Holder");
   call.fence = std::stoull("0" + HeaderOf(aRequest, "Fencing-Token"));
   unsigned status = kOk;
-  if (call.fence < this->highest) {
-    ++this->fenced;
+  if (call.fence < this->highestFence) {
+    ++this->rejectedForFence;
     status = kConflict;
   } else {
-    this->highest = call.fence;
+    this->highestFence = call.fence;
     this->accepted.push_back(std::move(call));
   }
-  HttpReply reply = MakeReply(status, "{}");
+  HttpResponse reply = MakeResponse(status, "{}");
   co_await aResponder.Send(std::move(reply));
 }
 
--- a/standin/platform/Cloud.h
+++ b/standin/platform/Cloud.h
@@ -28,10 +28,10 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
   std::vector<CloudCall> accepted;
-  std::size_t fenced = 0; // calls refused for a lower fence
+  std::size_t rejectedForFence = 0; // calls refused for a lower fence
 
 private:
-  std::uint64_t highest = 0;
+  std::uint64_t highestFence = 0;
 };
 
 } // namespace toucanshed::standin
--- a/standin/platform/Engine.cpp
+++ b/standin/platform/Engine.cpp
@@ -5,7 +5,7 @@
 namespace toucanshed::standin {
 
 std::string
-EngineArrival::Field(std::string_view aName) const
+ReceivedRequest::Field(std::string_view aName) const
 {
   for (const auto& [name, value] : this->fields) {
     if (boost::beast::iequals(name, aName)) {
@@ -15,30 +15,33 @@
   return {};
 }
 
-HttpReply
-PlatformEngine::Head(const HttpRequest& aRequest, unsigned aStatus) const
+HttpResponse
+PlatformEngine::MakeResponseHead(const HttpRequest& aRequest,
+                                 unsigned aStatus) const
 {
-  HttpReply reply = MakeReply(aStatus, "body of " + this->id, "text/plain");
+  HttpResponse reply =
+    MakeResponse(aStatus, "body of " + this->id, "text/plain");
   reply.set("Attempt-Id", HeaderOf(aRequest, "Attempt-Id"));
   reply.set("Response-Seal", "seal-of-" + this->id);
-  if (!this->limit.empty()) {
-    reply.set("Server-Limit", this->limit);
+  if (!this->rateLimit.empty()) {
+    reply.set("Server-Limit", this->rateLimit);
   }
   return reply;
 }
 
 Task<void>
 PlatformEngine::Stream(const HttpRequest& aRequest,
-                       EngineStep aStep,
+                       ScriptedResponse aStep,
                        HttpResponder& aResponder)
 {
-  HttpReply head = this->Head(aRequest, 200);
+  HttpResponse head = this->MakeResponseHead(aRequest, 200);
   head.set("Content-Type", "text/event-stream");
   co_await aResponder.Begin(std::move(head));
   const std::string resume = HeaderOf(aRequest, "Last-Event-Id");
   std::uint64_t next = resume.empty() ? 0 : std::stoull(resume) + 1;
-  const bool cut = aStep.kind == EngineStep::Kind::eCutAfter;
-  const std::uint64_t end = cut ? next + aStep.events : this->events;
+  const bool cut = aStep.kind == ScriptedResponse::Kind::eDisconnectAfter;
+  const std::uint64_t end =
+    cut ? next + aStep.eventsBeforeDisconnect : this->eventsPerStream;
   for (; next < end; ++next) {
     std::string event = "id: " + std::to_string(next) + "\ndata: token-" +
                         std::to_string(next) + "\n\n";
@@ -48,7 +51,7 @@
     co_await aResponder.End();
     co_return;
   }
-  if (aStep.halfEvent) {
+  if (aStep.sendsPartialEvent) {
     std::string half = "id: " + std::to_string(next) + "\nda";
     co_await aResponder.Write(std::move(half));
   }
@@ -57,45 +60,45 @@
 Task<void>
 PlatformEngine::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  EngineArrival arrival;
+  ReceivedRequest arrival;
   arrival.target = std::string(aRequest.target());
   arrival.body = aRequest.body();
   for (const auto& field : aRequest) {
     arrival.fields.emplace_back(field.name_string(), field.value());
   }
-  this->arrivals.push_back(std::move(arrival));
-  EngineStep step;
-  if (!this->steps.empty()) {
-    step = this->steps.front();
-    this->steps.pop_front();
+  this->receivedRequests.push_back(std::move(arrival));
+  ScriptedResponse step;
+  if (!this->scriptedResponses.empty()) {
+    step = this->scriptedResponses.front();
+    this->scriptedResponses.pop_front();
   }
-  HttpReply reply = this->Head(aRequest, 200);
+  HttpResponse reply = this->MakeResponseHead(aRequest, 200);
   switch (step.kind) {
-    case EngineStep::Kind::eTurnAway:
-      reply = this->Head(aRequest, 503);
+    case ScriptedResponse::Kind::eReject:
+      reply = this->MakeResponseHead(aRequest, 503);
       reply.set("Not-Executed", "1");
       break;
-    case EngineStep::Kind::eFail:
-      reply = this->Head(aRequest, 500);
+    case ScriptedResponse::Kind::eServerError:
+      reply = this->MakeResponseHead(aRequest, 500);
       break;
-    case EngineStep::Kind::eOtherAttempt:
+    case ScriptedResponse::Kind::eWrongAttempt:
       reply.set("Attempt-Id", "somebody-else");
       break;
-    case EngineStep::Kind::eOtherInstance:
-      reply = MakeReply(421, "");
+    case ScriptedResponse::Kind::eMisdirected:
+      reply = MakeResponse(421, "");
       reply.set("Instance-Id", "another");
       break;
-    case EngineStep::Kind::eSilent: {
+    case ScriptedResponse::Kind::eHang: {
       bool gone = false;
-      aResponder.WatchReceiver([&gone] { gone = true; });
+      aResponder.NotifyOnDisconnect([&gone] { gone = true; });
       while (!gone) {
         co_await Sleep(std::chrono::milliseconds(5));
       }
-      ++this->hungUp;
+      ++this->callerDisconnects;
       co_return;
     }
-    case EngineStep::Kind::eWhole:
-    case EngineStep::Kind::eCutAfter:
+    case ScriptedResponse::Kind::eComplete:
+    case ScriptedResponse::Kind::eDisconnectAfter:
       if (this->streams) {
         co_await this->Stream(aRequest, step, aResponder);
         co_return;
--- a/standin/platform/Engine.h
+++ b/standin/platform/Engine.h
@@ -15,26 +15,26 @@
 namespace toucanshed::standin {
 
 /** How one request is answered. */
-struct EngineStep
+struct ScriptedResponse
 {
   enum class Kind
   {
-    eWhole,         // with everything it asked for
-    eTurnAway,      // 503, and that it was not run
-    eFail,          // 500 of its own, signed
-    eCutAfter,      // the connection ends after some events
-    eOtherAttempt,  // the answer of another request
-    eOtherInstance, // 421: another engine has the address
-    eSilent,        // no answer, until the caller hangs up
+    eComplete,        // with everything it asked for
+    eReject,          // 503, and that it was not run
+    eServerError,     // 500 of its own, signed
+    eDisconnectAfter, // the connection ends after some events
+    eWrongAttempt,    // the answer of another request
+    eMisdirected,     // 421: another engine has the address
+    eHang,            // no answer, until the caller hangs up
   };
 
-  Kind kind = Kind::eWhole;
-  std::uint64_t events = 0; // before a cut
-  bool halfEvent = false;   // and half of the next one
+  Kind kind = Kind::eComplete;
+  std::uint64_t eventsBeforeDisconnect = 0; // before a cut
+  bool sendsPartialEvent = false;           // and half of the next one
 };
 
 /** One request as it arrived. */
-struct EngineArrival
+struct ReceivedRequest
 {
   std::string target;
   std::string body;
@@ -56,18 +56,19 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
   /** Used up first to last; then everything is answered whole. */
-  std::deque<EngineStep> steps;
-  std::vector<EngineArrival> arrivals;
-  std::size_t hungUp = 0; // callers that left while it was at work
+  std::deque<ScriptedResponse> scriptedResponses;
+  std::vector<ReceivedRequest> receivedRequests;
+  std::size_t callerDisconnects = 0; // callers that left while it was at work
   bool streams = false;
-  std::string limit;        // named in each answer; empty: none
-  std::uint64_t events = 5; // of each stream; ids run from 0
+  std::string rateLimit;             // named in each answer; empty: none
+  std::uint64_t eventsPerStream = 5; // of each stream; ids run from 0
 
 private:
   Task<void> Stream(const HttpRequest& aRequest,
-                    EngineStep aStep,
+                    ScriptedResponse aStep,
                     HttpResponder& aResponder);
-  HttpReply Head(const HttpRequest& aRequest, unsigned aStatus) const;
+  HttpResponse MakeResponseHead(const HttpRequest& aRequest,
+                                unsigned aStatus) const;
 
   std::string id;
 };
--- a/standin/platform/Store.cpp
+++ b/standin/platform/Store.cpp
@@ -24,7 +24,7 @@
 }
 
 std::string
-WithLength(const std::string& aRecord)
+EncodeRecord(const std::string& aRecord)
 {
   std::string bytes(kLengthBytes, '\0');
   boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(bytes.data()),
@@ -52,9 +52,9 @@
 }
 
 std::uint64_t
-NumberIn(std::string_view aTarget, std::string_view aName)
+QueryNumberOf(std::string_view aTarget, std::string_view aName)
 {
-  const std::string text = QueryOf(aTarget, aName);
+  const std::string text = QueryParamOf(aTarget, aName);
   return text.empty() ? 0 : std::stoull(text);
 }
 
@@ -63,11 +63,12 @@
 std::uint64_t
 PlatformStore::EndOf(const Topic& aTopic)
 {
-  return aTopic.first + aTopic.records.size();
+  return aTopic.firstPosition + aTopic.records.size();
 }
 
 void
-PlatformStore::Add(const std::string& aTopic, const std::string& aRecord)
+PlatformStore::AppendRecord(const std::string& aTopic,
+                            const std::string& aRecord)
 {
   Topic& topic = this->topics[aTopic];
   if (IsKeyed(aTopic) && !aRecord.empty()) {
@@ -75,85 +76,87 @@
     const std::string key = aRecord.substr(1, length);
     const std::string value = aRecord.substr(1 + length);
     if (value.empty()) {
-      topic.newest.erase(key);
+      topic.latestByKey.erase(key);
     } else {
-      topic.newest[key] = { value, EndOf(topic) };
+      topic.latestByKey[key] = { value, EndOf(topic) };
     }
   }
   topic.records.push_back(aRecord);
 }
 
 void
-PlatformStore::Put(const std::string& aTopic,
-                   const std::string& aKey,
-                   const std::optional<std::string>& aValue)
+PlatformStore::AppendKeyed(const std::string& aTopic,
+                           const std::string& aKey,
+                           const std::optional<std::string>& aValue)
 {
-  this->Add(aTopic,
-            static_cast<char>(aKey.size()) + aKey + aValue.value_or(""));
+  this->AppendRecord(
+    aTopic, static_cast<char>(aKey.size()) + aKey + aValue.value_or(""));
 }
 
 void
 PlatformStore::DropHistory(const std::string& aTopic)
 {
   Topic& topic = this->topics[aTopic];
-  topic.first = EndOf(topic);
+  topic.firstPosition = EndOf(topic);
   topic.records.clear();
 }
 
 std::size_t
-PlatformStore::RecordsOf(const std::string& aTopic) const
+PlatformStore::RecordCount(const std::string& aTopic) const
 {
   const auto found = this->topics.find(aTopic);
   return found == this->topics.end() ? 0 : found->second.records.size();
 }
 
-HttpReply
+HttpResponse
 PlatformStore::Append(const HttpRequest& aRequest)
 {
   ++this->appends;
-  const std::string name = QueryOf(aRequest.target(), "topic");
+  const std::string name = QueryParamOf(aRequest.target(), "topic");
   const std::uint64_t begin = EndOf(this->topics[name]);
-  const std::string at = QueryOf(aRequest.target(), "at");
+  const std::string at = QueryParamOf(aRequest.target(), "at");
   if (!at.empty() && std::stoull(at) != begin) {
-    return MakeReply(412, json::serialize(json::object{ { "end", begin } }));
+    return MakeResponse(412, json::serialize(json::object{ { "end", begin } }));
   }
   std::string_view bytes = aRequest.body();
   while (bytes.size() >= kLengthBytes) {
     const std::size_t length = boost::endian::load_big_u32(
       reinterpret_cast<const unsigned char*>(bytes.data()));
-    this->Add(name, std::string(bytes.substr(kLengthBytes, length)));
+    this->AppendRecord(name, std::string(bytes.substr(kLengthBytes, length)));
     bytes.remove_prefix(kLengthBytes + length);
   }
   const json::object answer{ { "offset", begin },
                              { "end", EndOf(this->topics[name]) } };
-  return MakeReply(kOk, json::serialize(answer));
+  return MakeResponse(kOk, json::serialize(answer));
 }
 
-HttpReply
+HttpResponse
 PlatformStore::Read(const HttpRequest& aRequest)
 {
   ++this->reads;
-  Topic& topic = this->topics[QueryOf(aRequest.target(), "topic")];
-  const std::uint64_t from = NumberIn(aRequest.target(), "from");
-  if (from < topic.first) {
-    return MakeReply(410,
-                     json::serialize(json::object{ { "first", topic.first } }));
+  Topic& topic = this->topics[QueryParamOf(aRequest.target(), "topic")];
+  const std::uint64_t from = QueryNumberOf(aRequest.target(), "from");
+  if (from < topic.firstPosition) {
+    return MakeResponse(
+      410, json::serialize(json::object{ { "first", topic.firstPosition } }));
   }
-  std::string body = BigEndian64(EndOf(topic)) + BigEndian64(topic.first);
-  const std::uint64_t end = std::min(EndOf(topic), from + this->mostRead);
+  std::string body =
+    BigEndian64(EndOf(topic)) + BigEndian64(topic.firstPosition);
+  const std::uint64_t end =
+    std::min(EndOf(topic), from + this->maxRecordsPerRead);
   for (std::uint64_t i = from; i < end; ++i) {
-    body += WithLength(topic.records[i - topic.first]);
+    body += EncodeRecord(topic.records[i - topic.firstPosition]);
   }
-  return MakeReply(kOk, body, "application/octet-stream");
+  return MakeResponse(kOk, body, "application/octet-stream");
 }
 
-HttpReply
-PlatformStore::Newest(const HttpRequest& aRequest)
+HttpResponse
+PlatformStore::ReadLatest(const HttpRequest& aRequest)
 {
   ++this->reads;
-  Topic& topic = this->topics[QueryOf(aRequest.target(), "topic")];
+  Topic& topic = this->topics[QueryParamOf(aRequest.target(), "topic")];
   json::array items;
-  for (const auto& [key, entry] : topic.newest) {
+  for (const auto& [key, entry] : topic.latestByKey) {
     items.push_back(json::object{ { "key", key },
                                   { "value", Base64(entry.first) },
                                   { "offset", entry.second } });
@@ -161,33 +164,33 @@
   const json::object answer{ { "items", items },
                              { "more", false },
                              { "end", EndOf(topic) } };
-  return MakeReply(kOk, json::serialize(answer));
+  return MakeResponse(kOk, json::serialize(answer));
 }
 
 Task<void>
 PlatformStore::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
   if (this->down) {
-    HttpReply reply = MakeReply(503, "");
+    HttpResponse reply = MakeResponse(503, "");
     co_await aResponder.Send(std::move(reply));
     co_return;
   }
   const std::string_view path = PathOf(aRequest.target());
-  HttpReply reply = MakeReply(404, "");
+  HttpResponse reply = MakeResponse(404, "");
   if (path == "/log-append") {
     reply = this->Append(aRequest);
-    if (this->loseAnswers) {
+    if (this->dropAppendResponses) {
       co_return; // nothing was sent: the connection closes
     }
   } else if (path == "/log-newest") {
-    reply = this->Newest(aRequest);
+    reply = this->ReadLatest(aRequest);
   } else if (path == "/log-read") {
     const std::size_t before = this->reads;
     reply = this->Read(aRequest);
     // A reader that has all is held for as long as it asks, in small steps.
     constexpr std::chrono::milliseconds kStep{ 10 };
     constexpr std::size_t kHead = 16;
-    std::chrono::milliseconds left(NumberIn(aRequest.target(), "wait_ms"));
+    std::chrono::milliseconds left(QueryNumberOf(aRequest.target(), "wait_ms"));
     while (reply.body().size() == kHead && left > kStep && !this->down) {
       co_await Sleep(kStep);
       left -= kStep;
--- a/standin/platform/Store.h
+++ b/standin/platform/Store.h
@@ -23,32 +23,32 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
   /** Appends a keyed record as operators and engines do. */
-  void Put(const std::string& aTopic,
-           const std::string& aKey,
-           const std::optional<std::string>& aValue);
+  void AppendKeyed(const std::string& aTopic,
+                   const std::string& aKey,
+                   const std::optional<std::string>& aValue);
   /** Appends a record as another daemon does. */
-  void Add(const std::string& aTopic, const std::string& aRecord);
+  void AppendRecord(const std::string& aTopic, const std::string& aRecord);
   /** Drops a topic's history; the newest record of each key stays. */
   void DropHistory(const std::string& aTopic);
-  [[nodiscard]] std::size_t RecordsOf(const std::string& aTopic) const;
+  [[nodiscard]] std::size_t RecordCount(const std::string& aTopic) const;
 
-  bool down = false;             // every call is answered with 503
-  bool loseAnswers = false;      // appends take effect and are not answered
-  std::size_t mostRead = 100000; // records in one answer to a read
+  bool down = false;                // every call is answered with 503
+  bool dropAppendResponses = false; // appends take effect and are not answered
+  std::size_t maxRecordsPerRead = 100000; // records in one answer to a read
   std::size_t reads = 0;
   std::size_t appends = 0;
 
 private:
   struct Topic
   {
-    std::uint64_t first = 0; // position of records[0]
+    std::uint64_t firstPosition = 0; // position of records[0]
     std::vector<std::string> records;
-    std::map<std::string, std::pair<std::string, std::uint64_t>> newest;
+    std::map<std::string, std::pair<std::string, std::uint64_t>> latestByKey;
   };
 
-  HttpReply Append(const HttpRequest& aRequest);
-  HttpReply Read(const HttpRequest& aRequest);
-  HttpReply Newest(const HttpRequest& aRequest);
+  HttpResponse Append(const HttpRequest& aRequest);
+  HttpResponse Read(const HttpRequest& aRequest);
+  HttpResponse ReadLatest(const HttpRequest& aRequest);
   static std::uint64_t EndOf(const Topic& aTopic);
 
   std::map<std::string, Topic> topics;
--- a/test/SmallWorld.cpp
+++ b/test/DaemonHarness.cpp
@@ -1,4 +1,4 @@
-#include "SmallWorld.h"
+#include "DaemonHarness.h"
 
 #include "OnWorker.h"
 #include "base/Hash.h"
@@ -15,24 +15,24 @@
 constexpr const char* kAddress = "127.77.0.3";
 
 Settings
-SettingsFor(std::uint16_t aPort)
+MakeSettings(std::uint16_t aPort)
 {
   Settings settings;
   settings.id = DaemonId{ "daemon-1" };
   settings.zone = ZoneId{ "z1" };
-  settings.workers = 1;
+  settings.workerCount = 1;
   settings.teamsByTokenHash[Sha256Hex("crews-token")] = TeamId{ "crews" };
   const auto address = boost::asio::ip::make_address(kAddress);
-  settings.callers = Endpoint(address, aPort);
-  settings.operators = settings.callers;
-  settings.log = settings.callers;
-  settings.instances = settings.callers;
+  settings.callerEndpoint = Endpoint(address, aPort);
+  settings.operatorEndpoint = settings.callerEndpoint;
+  settings.logEndpoint = settings.callerEndpoint;
+  settings.instancesEndpoint = settings.callerEndpoint;
   settings.peerAddress = std::string(kAddress) + ":" + std::to_string(aPort);
   return settings;
 }
 
 records::Batch
-FirstDocuments()
+InitialDocuments()
 {
   records::Batch batch;
   batch.set_writer("operator/1");
@@ -57,10 +57,10 @@
 
 } // namespace
 
-LogAccess
-MemoryLog::Access()
+LogClient
+MemoryLog::MakeClient()
 {
-  LogAccess access;
+  LogClient access;
   access.append = [this](Worker&,
                          std::string aStream,
                          std::string aPayload) -> Task<Result<void>> {
@@ -68,7 +68,7 @@
       co_return Fail(ErrorCode::eUnavailable, "outage");
     }
     this->streams[aStream].push_back(std::move(aPayload));
-    if (this->loseAnswers) {
+    if (this->dropAppendResponses) {
       co_return Fail(ErrorCode::eUnavailable, "the answer was lost");
     }
     co_return Result<void>{};
@@ -97,9 +97,9 @@
 }
 
 ModelRequest
-ModelRequestNow(DaemonState& aState,
-                const std::string& aPrompt,
-                std::uint64_t aTokens)
+MakeModelRequest(DaemonState& aState,
+                 const std::string& aPrompt,
+                 std::uint64_t aTokens)
 {
   ModelRequest request;
   request.id = RequestId{ "r-1" };
@@ -114,23 +114,23 @@
   return request;
 }
 
-SmallWorld::SmallWorld(std::uint16_t aPort)
-  : state(SettingsFor(aPort), 1)
+DaemonHarness::DaemonHarness(std::uint16_t aPort)
+  : state(MakeSettings(aPort), 1)
   , port(aPort)
 {
-  this->state.log = this->log.Access();
-  this->state.control.With(
-    [](ControlReader& aReader) { aReader.Apply(1, FirstDocuments()); });
+  this->state.log = this->log.MakeClient();
+  this->state.control.WithLock(
+    [](ControlReader& aReader) { aReader.Apply(1, InitialDocuments()); });
 }
 
 Endpoint
-SmallWorld::NextEndpoint()
+DaemonHarness::NextEndpoint()
 {
   return { boost::asio::ip::make_address(kAddress), ++this->port };
 }
 
 void
-SmallWorld::Serve(Backend& aBackend, HttpHandler aHandler)
+DaemonHarness::StartServer(Backend& aBackend, HttpHandler aHandler)
 {
   aBackend.server = std::make_unique<HttpServer>(
     this->state.pool, HttpLimits{}, std::move(aHandler));
@@ -139,10 +139,10 @@
 }
 
 void
-SmallWorld::Tell(const Backend& aBackend,
-                 const std::string& aId,
-                 const std::string& aIncarnation,
-                 const std::string& aService)
+DaemonHarness::AddToRouter(const Backend& aBackend,
+                           const std::string& aId,
+                           const std::string& aIncarnation,
+                           const std::string& aService)
 {
   EngineReport report;
   report.id = InstanceId{ aId };
@@ -151,11 +151,11 @@
   report.service = ServiceId{ aService };
   report.version = VersionId{ "v1" };
   report.slots = 8;
-  this->state.router.With([&](Router& aRouter) { aRouter.Upsert(report); });
+  this->state.router.WithLock([&](Router& aRouter) { aRouter.Upsert(report); });
 }
 
 void
-SmallWorld::AddEngine(const std::string& aId, const std::string& aFault)
+DaemonHarness::AddEngine(const std::string& aId, const std::string& aFault)
 {
   Backend backend;
   backend.endpoint = this->NextEndpoint();
@@ -163,46 +163,46 @@
   options.id = aId;
   options.service = "survey";
   options.version = "v1";
-  options.stepMs = 1;
-  options.faultFromStart = aFault;
+  options.decodeStepMs = 1;
+  options.initialFault = aFault;
   backend.engine =
-    std::make_unique<standin::Engine>(this->TheWorker(), options);
+    std::make_unique<standin::Engine>(this->FirstWorker(), options);
   standin::Engine* engine = backend.engine.get();
-  this->Serve(
+  this->StartServer(
     backend,
     [engine](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
       return engine->Handle(aRequest, aResponder);
     });
-  this->Tell(backend, aId, std::to_string(getpid()), "survey");
+  this->AddToRouter(backend, aId, std::to_string(getpid()), "survey");
   this->backends.push_back(std::move(backend));
 }
 
 void
-SmallWorld::AddService(const std::string& aId)
+DaemonHarness::AddService(const std::string& aId)
 {
   Backend backend;
   backend.endpoint = this->NextEndpoint();
-  backend.service = std::make_unique<standin::Service>(1);
-  standin::Service* service = backend.service.get();
-  this->Serve(
+  backend.service = std::make_unique<standin::PlainService>(1);
+  standin::PlainService* service = backend.service.get();
+  this->StartServer(
     backend,
     [service](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
       return service->Handle(aRequest, aResponder);
     });
-  this->Tell(backend, aId, "1", "jobdesk");
+  this->AddToRouter(backend, aId, "1", "jobdesk");
   this->backends.push_back(std::move(backend));
 }
 
 Task<void>
-SmallWorld::SetFault(std::size_t aBackend,
-                     std::string aName,
-                     std::int64_t aValue)
+DaemonHarness::SetFault(std::size_t aBackend,
+                        std::string aName,
+                        std::int64_t aValue)
 {
   boost::json::object body;
   body[aName] = aValue;
   HttpRequest request =
     MakeRequest(http::verb::post, "/faults", boost::json::serialize(body));
-  co_await Fetch(this->TheWorker(),
+  co_await Fetch(this->FirstWorker(),
                  this->backends.at(aBackend).endpoint,
                  std::move(request),
                  CallTimeouts{},
@@ -210,7 +210,7 @@
 }
 
 Task<std::uint64_t>
-SmallWorld::Executions(std::string aKey)
+DaemonHarness::Executions(std::string aKey)
 {
   std::uint64_t count = 0;
   for (const Backend& backend : this->backends) {
@@ -218,7 +218,7 @@
       continue;
     }
     HttpRequest request = MakeRequest(http::verb::get, "/counts");
-    const auto reply = co_await Fetch(this->TheWorker(),
+    const auto reply = co_await Fetch(this->FirstWorker(),
                                       backend.endpoint,
                                       std::move(request),
                                       CallTimeouts{},
@@ -229,7 +229,7 @@
 }
 
 void
-SmallWorld::Run(Task<void> aTask)
+DaemonHarness::Run(Task<void> aTask)
 {
   RunOn(this->state.pool, std::move(aTask));
 }
--- a/test/SmallWorld.h
+++ b/test/DaemonHarness.h
@@ -8,7 +8,7 @@
 #include "daemon/ModelRequest.h"
 #include "edge/HttpServer.h"
 #include "standin/Engine.h"
-#include "standin/Service.h"
+#include "standin/PlainService.h"
 
 #include <memory>
 #include <string>
@@ -20,23 +20,23 @@
 struct MemoryLog
 {
   bool outage = false;
-  bool loseAnswers = false;
+  bool dropAppendResponses = false;
   std::map<std::string, std::vector<std::string>> streams;
 
-  [[nodiscard]] LogAccess Access();
+  [[nodiscard]] LogClient MakeClient();
 };
 
 /** A chat request for the world's model service, arriving now. */
 ModelRequest
-ModelRequestNow(DaemonState& aState,
-                const std::string& aPrompt,
-                std::uint64_t aTokens);
+MakeModelRequest(DaemonState& aState,
+                 const std::string& aPrompt,
+                 std::uint64_t aTokens);
 
-class SmallWorld
+class DaemonHarness
 {
 public:
   /** \param aPort first of the ports that the world may use. */
-  explicit SmallWorld(std::uint16_t aPort);
+  explicit DaemonHarness(std::uint16_t aPort);
 
   /** Adds a model engine of version v1 and tells the router of it. */
   void AddEngine(const std::string& aId, const std::string& aFault = {});
@@ -54,23 +54,23 @@
   DaemonState state;
   MemoryLog log;
 
-  Worker& TheWorker() { return this->state.pool.First(); }
+  Worker& FirstWorker() { return this->state.pool.First(); }
 
 private:
   struct Backend
   {
     Endpoint endpoint;
     std::unique_ptr<standin::Engine> engine;
-    std::unique_ptr<standin::Service> service;
+    std::unique_ptr<standin::PlainService> service;
     std::unique_ptr<HttpServer> server;
   };
 
   Endpoint NextEndpoint();
-  void Serve(Backend& aBackend, HttpHandler aHandler);
-  void Tell(const Backend& aBackend,
-            const std::string& aId,
-            const std::string& aIncarnation,
-            const std::string& aService);
+  void StartServer(Backend& aBackend, HttpHandler aHandler);
+  void AddToRouter(const Backend& aBackend,
+                   const std::string& aId,
+                   const std::string& aIncarnation,
+                   const std::string& aService);
 
   std::uint16_t port;
   std::vector<Backend> backends;
--- a/test/WordTimes.h
+++ b/test/HeartbeatTiming.h
@@ -11,11 +11,11 @@
 namespace toucanshed::test {
 
 /** Daemons that one word is said to at once. */
-constexpr std::size_t kWordAtOnce = 12;
+constexpr std::size_t kHeartbeatBatchSize = 12;
 
 /** Between two regular words of a daemon, among so many. */
 inline Millis
-WordInterval(std::size_t aDaemons)
+HeartbeatInterval(std::size_t aDaemons)
 {
   constexpr Millis kEvery{ 150 };
   constexpr Millis kEveryForEach{ 12 };
@@ -24,7 +24,7 @@
 
 /** A daemon that has said nothing for this long is not heard any more. */
 inline Millis
-WordSilence(std::size_t aDaemons)
+HeartbeatTimeout(std::size_t aDaemons)
 {
   constexpr Millis kSilent{ 1500 };
   constexpr Millis kSilentForEach{ 36 };
--- /dev/null
+++ b/test/LimitSimulation.cpp
@@ -0,0 +1,305 @@
+#include "LimitSimulation.h"
+
+#include "HeartbeatTiming.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace toucanshed::test {
+
+namespace {
+
+constexpr Millis kStep{ 1 };
+constexpr std::uint64_t kMaxUrgentDelayMs = 100;
+constexpr std::uint64_t kMinResponseMs = 40;
+constexpr std::uint64_t kResponseSpreadMs = 1200;
+constexpr double kMillisPerSecond = 1000;
+
+DaemonId
+IdOf(std::size_t aDaemon)
+{
+  return DaemonId{ "daemon-" + std::to_string(aDaemon) };
+}
+
+} // namespace
+
+LimitSimulation::LimitSimulation(std::size_t aDaemons,
+                                 std::size_t aEngines,
+                                 LimitNetwork aNet)
+  : network(aNet)
+  , daemons(aDaemons)
+  , engines(aEngines)
+{
+  for (std::size_t i = 0; i < aEngines; ++i) {
+    this->engines[i].id = InstanceId{ "engine-" + std::to_string(i) };
+  }
+  for (std::size_t i = 0; i < aDaemons; ++i) {
+    this->Start(i);
+  }
+}
+
+void
+LimitSimulation::Start(std::size_t aDaemon)
+{
+  Daemon& daemon = this->daemons[aDaemon];
+  daemon.shares = std::make_unique<LimitShares>(IdOf(aDaemon), this->now);
+  daemon.shares->SetPeerTimeout(HeartbeatTimeout(this->daemons.size()));
+  for (std::size_t i = 0; i < this->daemons.size(); ++i) {
+    daemon.shares->AddPeer(IdOf(i), this->now);
+  }
+  daemon.shares->MarkListRead();
+  daemon.limits = std::make_unique<EngineLimits>(*daemon.shares);
+  daemon.graceUntil = this->now + kGracePeriod;
+  daemon.resumesAt = this->now;
+  daemon.urgentReportAt.reset();
+  ++daemon.incarnation;
+  const auto interval =
+    static_cast<std::uint64_t>(HeartbeatInterval(this->daemons.size()).count());
+  daemon.heartbeatAt = this->now + Millis(this->random.NextBelow(interval));
+}
+
+void
+LimitSimulation::Send(std::size_t aFrom, std::size_t aTo, Message aWord)
+{
+  constexpr std::uint64_t kWhole = 10000;
+  const bool apart =
+    this->partitioned.contains(aFrom) != this->partitioned.contains(aTo);
+  const auto chance =
+    static_cast<double>(this->random.NextBelow(kWhole)) / kWhole;
+  if (aFrom == aTo || apart || chance < this->network.lossRate) {
+    return;
+  }
+  aWord.from = aFrom;
+  aWord.to = aTo;
+  const auto late = static_cast<std::uint64_t>(this->network.maxDelay.count());
+  this->messages.emplace(this->now + Millis(1 + this->random.NextBelow(late)),
+                         std::move(aWord));
+}
+
+void
+LimitSimulation::SendHeartbeat(std::size_t aDaemon)
+{
+  Daemon& daemon = this->daemons[aDaemon];
+  const std::size_t count = this->daemons.size();
+  const std::size_t parts =
+    (count + kHeartbeatBatchSize - 1) / kHeartbeatBatchSize;
+  daemon.heartbeatAt =
+    daemon.heartbeatAt +
+    HeartbeatInterval(this->daemons.size()) / static_cast<std::int64_t>(parts);
+  daemon.heartbeatBatch = (daemon.heartbeatBatch + 1) % parts;
+  daemon.limits->Expire(this->now);
+  Message word;
+  word.isHeartbeat = true;
+  word.updates = daemon.limits->TakeHeartbeatUpdates();
+  for (std::size_t to = daemon.heartbeatBatch; to < count; to += parts) {
+    this->Send(aDaemon, to, word);
+  }
+}
+
+void
+LimitSimulation::Deliver()
+{
+  while (!this->messages.empty() &&
+         this->messages.begin()->first <= this->now) {
+    const Message word = this->messages.begin()->second;
+    this->messages.erase(this->messages.begin());
+    if (!this->IsAwake(word.to)) {
+      continue; // its queue is full before it wakes
+    }
+    Daemon& daemon = this->daemons[word.to];
+    if (word.isHeartbeat) {
+      daemon.shares->RecordHeartbeat(IdOf(word.from), this->now);
+    }
+    for (const LimitUpdate& news : word.updates) {
+      daemon.limits->ReceiveUpdate(news, this->now);
+    }
+  }
+  while (!this->responses.empty() &&
+         this->responses.begin()->first <= this->now) {
+    const Response answer = this->responses.begin()->second;
+    this->responses.erase(this->responses.begin());
+    Daemon& daemon = this->daemons[answer.daemon];
+    Engine& engine = this->engines[answer.engine];
+    if (daemon.incarnation != answer.incarnation ||
+        !this->IsAwake(answer.daemon)) {
+      continue;
+    }
+    if (engine.limit && !engine.firstReportedAt) {
+      engine.firstReportedAt = this->now;
+    }
+    std::optional<RequestRate> named;
+    if (engine.limit) {
+      named = RequestRate{ *engine.limit };
+    }
+    daemon.limits->RecordResponse(engine.id, 1, named, this->now);
+    if (daemon.limits->HasUrgentUpdates() && !daemon.urgentReportAt) {
+      daemon.urgentReportAt =
+        this->now + Millis(this->random.NextBelow(kMaxUrgentDelayMs));
+    }
+  }
+}
+
+bool
+LimitSimulation::TrySend(std::size_t aDaemon, std::size_t aEngine)
+{
+  Daemon& daemon = this->daemons[aDaemon];
+  Engine& engine = this->engines[aEngine];
+  if (daemon.limits->TryAcquire(engine.id, this->now) ==
+      LimitDecision::eExhausted) {
+    return false;
+  }
+  this->RecordArrival(aDaemon, aEngine);
+  const Millis takes(kMinResponseMs +
+                     this->random.NextBelow(kResponseSpreadMs));
+  this->responses.emplace(this->now + takes,
+                          Response{ aDaemon, daemon.incarnation, aEngine });
+  return true;
+}
+
+void
+LimitSimulation::RecordArrival(std::size_t aDaemon, std::size_t aEngine)
+{
+  Engine& engine = this->engines[aEngine];
+  ++engine.arrivals;
+  if (engine.limit) {
+    engine.recentLimits.emplace_back(this->now, *engine.limit);
+  }
+  const TimePoint from = this->now - kWindow;
+  while (!engine.recentLimits.empty() &&
+         engine.recentLimits.front().first <= from) {
+    engine.recentLimits.pop_front();
+  }
+  const bool excused = this->daemons[aDaemon].graceUntil > this->now ||
+                       this->partitioned.contains(aDaemon);
+  const bool counts = engine.limit && engine.firstReportedAt && !excused &&
+                      this->now - *engine.firstReportedAt >= kGracePeriod;
+  if (!counts) {
+    return;
+  }
+  engine.countedArrivals.push_back(this->now);
+  while (engine.countedArrivals.front() <= from) {
+    engine.countedArrivals.pop_front();
+  }
+  double highest = 0;
+  for (const auto& [at, limit] : engine.recentLimits) {
+    highest = std::max(highest, limit);
+  }
+  constexpr double kAllowedPart = 1.5;
+  constexpr double kAllowedMore = 5;
+  const double seconds =
+    static_cast<double>(kWindow.count()) / kMillisPerSecond;
+  const double allowed = kAllowedPart * highest * seconds + kAllowedMore;
+  this->maxUsage =
+    std::max(this->maxUsage,
+             static_cast<double>(engine.countedArrivals.size()) / allowed);
+}
+
+void
+LimitSimulation::IssueRequest()
+{
+  const std::size_t daemon = this->random.NextBelow(this->daemons.size());
+  if (!this->IsAwake(daemon)) {
+    return;
+  }
+  const std::size_t first = this->random.NextBelow(this->engines.size());
+  for (std::size_t i = 0; i < this->engines.size(); ++i) {
+    if (this->TrySend(daemon, (first + i) % this->engines.size())) {
+      return;
+    }
+  }
+}
+
+void
+LimitSimulation::Step()
+{
+  this->now = this->now + kStep;
+  this->Deliver();
+  for (std::size_t i = 0; i < this->daemons.size(); ++i) {
+    Daemon& daemon = this->daemons[i];
+    if (!this->IsAwake(i)) {
+      continue;
+    }
+    if (daemon.urgentReportAt && *daemon.urgentReportAt <= this->now) {
+      daemon.urgentReportAt.reset();
+      Message word;
+      word.updates = daemon.limits->TakeUrgentUpdates();
+      for (std::size_t to = 0; to < this->daemons.size(); ++to) {
+        this->Send(i, to, word);
+      }
+    }
+    if (daemon.heartbeatAt <= this->now) {
+      this->SendHeartbeat(i);
+    }
+  }
+}
+
+void
+LimitSimulation::Run(Millis aFor, double aRequestsPerS)
+{
+  const TimePoint end = this->now + aFor;
+  while (this->now < end) {
+    this->Step();
+    this->pendingLoad += aRequestsPerS / kMillisPerSecond;
+    for (; this->pendingLoad >= 1; this->pendingLoad -= 1) {
+      this->IssueRequest();
+    }
+  }
+}
+
+void
+LimitSimulation::SetLimit(std::size_t aEngine, std::optional<double> aPerS)
+{
+  Engine& engine = this->engines[aEngine];
+  engine.limit = aPerS;
+  if (!aPerS) {
+    engine.firstReportedAt.reset();
+    engine.countedArrivals.clear();
+  }
+}
+
+void
+LimitSimulation::RestartAll(Millis aSpread)
+{
+  const auto spread = static_cast<std::uint64_t>(aSpread.count());
+  for (std::size_t i = 0; i < this->daemons.size(); ++i) {
+    this->Start(i);
+    Daemon& daemon = this->daemons[i];
+    daemon.resumesAt = this->now + Millis(this->random.NextBelow(spread));
+    daemon.graceUntil = daemon.resumesAt + kGracePeriod;
+  }
+}
+
+void
+LimitSimulation::Freeze(std::size_t aDaemon, Millis aFor)
+{
+  Daemon& daemon = this->daemons[aDaemon];
+  daemon.resumesAt = this->now + aFor;
+  daemon.graceUntil = daemon.resumesAt + kGracePeriod;
+}
+
+void
+LimitSimulation::Partition(std::set<std::size_t> aGroup)
+{
+  for (const std::size_t daemon : this->partitioned) {
+    this->daemons[daemon].graceUntil = this->now + kGracePeriod;
+  }
+  this->partitioned = std::move(aGroup);
+}
+
+std::size_t
+LimitSimulation::TakeArrivals(std::size_t aEngine)
+{
+  return std::exchange(this->engines[aEngine].arrivals, 0);
+}
+
+std::size_t
+LimitSimulation::DaemonsWithLimit(std::size_t aEngine) const
+{
+  const InstanceId& id = this->engines[aEngine].id;
+  return static_cast<std::size_t>(std::count_if(
+    this->daemons.begin(), this->daemons.end(), [&](const Daemon& aDaemon) {
+      return aDaemon.limits->RateOf(id, this->now).has_value();
+    }));
+}
+
+} // namespace toucanshed::test
--- a/test/MemberNet.h
+++ b/test/MembershipSimulation.h
@@ -16,21 +16,21 @@
 
 /** Delivers every message a millisecond after it was sent, unless the link is
  * cut or the receiver is paused or dead. */
-class MemberNet
+class MembershipSimulation
 {
 public:
   static constexpr Millis kTick{ 300 };
 
-  explicit MemberNet(std::size_t aCount)
+  explicit MembershipSimulation(std::size_t aCount)
   {
     for (std::size_t i = 0; i < aCount; ++i) {
-      this->Add(i);
+      this->AddNode(i);
     }
   }
 
   struct Node
   {
-    std::unique_ptr<Membership> members;
+    std::unique_ptr<Membership> membership;
     std::vector<peer::Envelope> inbox; // waits while paused
     bool dead = false;
     bool paused = false;
@@ -48,18 +48,18 @@
         const bool due =
           (this->now.ms + phase) / 10 % (kTick.count() / 10) == 0;
         if (due && !this->nodes[i].dead && !this->nodes[i].paused) {
-          this->Post(i, this->nodes[i].members->Tick(this->now));
+          this->Send(i, this->nodes[i].membership->Tick(this->now));
         }
       }
     }
   }
 
   /** Whether all that are up see exactly these alive. */
-  [[nodiscard]] bool AllSee(std::size_t aAlive) const
+  [[nodiscard]] bool AllSeeAlive(std::size_t aAlive) const
   {
     for (const Node& node : this->nodes) {
       if (!node.dead && !node.paused &&
-          node.members->Owners().size() != aAlive) {
+          node.membership->EligibleOwners().size() != aAlive) {
         return false;
       }
     }
@@ -67,12 +67,12 @@
   }
 
   /** Nodes that are up and see a node with a status. */
-  [[nodiscard]] std::size_t SeenAs(std::size_t aNode,
-                                   peer::MemberStatus aStatus) const
+  [[nodiscard]] std::size_t CountSeeing(std::size_t aNode,
+                                        peer::MemberStatus aStatus) const
   {
     std::size_t seen = 0;
     for (const Node& node : this->nodes) {
-      const auto& others = node.members->Others();
+      const auto& others = node.membership->Others();
       const auto found = others.find(NameOf(aNode));
       if (!node.dead && !node.paused && found != others.end() &&
           found->second.member.status() == aStatus) {
@@ -88,7 +88,7 @@
   void Replace(std::size_t aNode)
   {
     this->nodes[aNode] = Node{};
-    this->Make(aNode, static_cast<std::uint64_t>(this->now.ms) + 1);
+    this->MakeMember(aNode, static_cast<std::uint64_t>(this->now.ms) + 1);
   }
 
   static std::string NameOf(std::size_t aNode)
@@ -98,20 +98,20 @@
 
   std::vector<Node> nodes;
   /** Whether a message from one node to another is lost. */
-  std::function<bool(std::size_t, std::size_t)> cut =
+  std::function<bool(std::size_t, std::size_t)> isLinkDown =
     [](std::size_t, std::size_t) { return false; };
   TimePoint now{ 1000 };
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
 
 private:
-  void Add(std::size_t aNode)
+  void AddNode(std::size_t aNode)
   {
     this->nodes.emplace_back();
-    this->Make(aNode, 1);
+    this->MakeMember(aNode, 1);
   }
 
-  void Make(std::size_t aNode, std::uint64_t aLife)
+  void MakeMember(std::size_t aNode, std::uint64_t aLife)
   {
     peer::Member self;
     self.set_id(NameOf(aNode));
@@ -120,19 +120,20 @@
     self.set_zone("zone-" + std::to_string(aNode % 8));
     self.set_address(std::to_string(aNode));
     self.set_operator_address("10.0.0.1:9100");
-    this->nodes[aNode].members = std::make_unique<Membership>(
+    this->nodes[aNode].membership = std::make_unique<Membership>(
       self, MembershipTiming{}, Random(aNode + aLife));
     // The platform's list names a few; the rest is heard.
-    this->nodes[aNode].members->SetContacts({ "0", "1", "2", "3", "4" });
+    this->nodes[aNode].membership->SetSeedAddresses(
+      { "0", "1", "2", "3", "4" });
   }
 
-  void Post(std::size_t aFrom, const std::vector<OutgoingEnvelope>& aMessages)
+  void Send(std::size_t aFrom, const std::vector<OutgoingEnvelope>& aMessages)
   {
     for (const OutgoingEnvelope& message : aMessages) {
       const std::size_t to = std::stoul(message.address);
       ++this->messages;
       this->bytes += message.envelope.ByteSizeLong();
-      if (!this->cut(aFrom, to) && !this->nodes[to].dead) {
+      if (!this->isLinkDown(aFrom, to) && !this->nodes[to].dead) {
         this->nodes[to].inbox.push_back(message.envelope);
       }
     }
@@ -148,7 +149,7 @@
       const auto inbox = std::move(node.inbox);
       node.inbox.clear();
       for (const peer::Envelope& envelope : inbox) {
-        this->Post(i, node.members->Receive(envelope, this->now));
+        this->Send(i, node.membership->Receive(envelope, this->now));
       }
     }
   }
--- a/test/PlatformWorld.cpp
+++ b/test/PlatformHarness.cpp
@@ -1,8 +1,8 @@
-#include "PlatformWorld.h"
+#include "PlatformHarness.h"
 
 #include "platform/Adapter.h"
-#include "platform/CatalogFormat.h"
-#include "serve/CallerFace.h"
+#include "platform/RecordFormat.h"
+#include "serve/CallerHandler.h"
 #include "test/OnWorker.h"
 
 #include <boost/json.hpp>
@@ -57,7 +57,7 @@
 }
 
 std::string
-PlatformWorld::CatalogText(std::uint64_t aVersion, const std::string& aKey)
+PlatformHarness::CatalogText(std::uint64_t aVersion, const std::string& aKey)
 {
   const json::object team{ { "name", "team-one" },
                            { "api_keys", json::array{ aKey } } };
@@ -76,33 +76,35 @@
   return json::serialize(catalog);
 }
 
-PlatformWorld::PlatformWorld(std::uint16_t aPort)
+PlatformHarness::PlatformHarness(std::uint16_t aPort)
   : port(aPort)
 {
   const Endpoint storeAt(boost::asio::ip::address_v4::loopback(), aPort);
   const Endpoint cloudAt(boost::asio::ip::address_v4::loopback(), aPort + 1);
   this->state = MakeServingState(
     "daemon-1", storeAt, cloudAt, static_cast<std::uint16_t>(aPort + 9));
-  this->Serve([this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-    return this->store.Handle(aIn, aOut);
-  });
-  this->Serve([this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-    return this->cloud.Handle(aIn, aOut);
-  });
-  this->callers =
-    this->Serve([this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-      return ServeCaller(*this->state, aIn, aOut);
+  this->StartServer(
+    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
+      return this->store.Handle(aIn, aOut);
+    });
+  this->StartServer(
+    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
+      return this->cloud.Handle(aIn, aOut);
+    });
+  this->callers = this->StartServer(
+    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
+      return HandleCallerRequest(*this->state, aIn, aOut);
     });
   this->state->catalog =
     std::make_shared<const Catalog>(*platform::ParseCatalog(CatalogText(1)));
   this->state->backendsRead = true;
-  this->state->limitSharers.Listed();
+  this->state->limitShares.MarkListRead();
 }
 
-PlatformWorld::~PlatformWorld() = default;
+PlatformHarness::~PlatformHarness() = default;
 
 Endpoint
-PlatformWorld::Serve(HttpHandler aHandler)
+PlatformHarness::StartServer(HttpHandler aHandler)
 {
   Endpoint endpoint(boost::asio::ip::address_v4::loopback(), this->port++);
   this->servers.push_back(std::make_unique<HttpServer>(
@@ -115,33 +117,34 @@
 }
 
 standin::PlatformEngine&
-PlatformWorld::AddEngine(const std::string& aId, const std::string& aService)
+PlatformHarness::AddEngine(const std::string& aId, const std::string& aService)
 {
   auto& engine = this->engines[aId];
   engine = std::make_unique<standin::PlatformEngine>(aId);
   engine->streams = aService == "model";
   standin::PlatformEngine& served = *engine;
-  const Endpoint endpoint =
-    this->Serve([&served](Worker&, const HttpRequest& aIn, HttpResponder& aTo) {
+  const Endpoint endpoint = this->StartServer(
+    [&served](Worker&, const HttpRequest& aIn, HttpResponder& aTo) {
       return served.Handle(aIn, aTo);
     });
   this->engineServers[aId] = this->servers.back().get();
-  this->places[aId] = { aService, endpoint };
+  this->engineAddresses[aId] = { aService, endpoint };
   this->state->backends.Put(*platform::ParseBackendEntry(aId, EntryOf(aId)));
   return served;
 }
 
 void
-PlatformWorld::StopEngine(const std::string& aId)
+PlatformHarness::StopEngine(const std::string& aId)
 {
   this->engineServers.at(aId)->Close();
 }
 
 std::string
-PlatformWorld::EntryOf(const std::string& aId, const std::string& aState) const
+PlatformHarness::EntryOf(const std::string& aId,
+                         const std::string& aState) const
 {
   constexpr int kSlots = 8;
-  const auto& [service, endpoint] = this->places.at(aId);
+  const auto& [service, endpoint] = this->engineAddresses.at(aId);
   return json::serialize(json::object{ { "service", service },
                                        { "address", ToText(endpoint) },
                                        { "zone", "zone-1" },
@@ -151,8 +154,8 @@
                                        { "born", 1 } });
 }
 
-Task<CallerView>
-PlatformWorld::Ask(CallerSend aSend)
+Task<CallerResponse>
+PlatformHarness::SendRequest(CallerMessage aSend)
 {
   HttpRequest request =
     MakeRequest(http::verb::post, aSend.path, std::move(aSend.body));
@@ -163,7 +166,7 @@
   for (const auto& [name, value] : aSend.fields) {
     request.set(name, value);
   }
-  CallerView view;
+  CallerResponse view;
   auto exchange = co_await HttpExchange::Open(this->state->pool.First(),
                                               this->callers,
                                               std::move(request),
@@ -174,9 +177,9 @@
   }
   view.status = exchange->Status();
   view.seal = HeaderOf(exchange->Headers(), "Response-Seal");
-  view.comeBack = HeaderOf(exchange->Headers(), "Retry-After");
+  view.retryAfter = HeaderOf(exchange->Headers(), "Retry-After");
   while (true) {
-    auto piece = co_await exchange->ReadPiece();
+    auto piece = co_await exchange->ReadChunk();
     if (!piece) {
       co_return view;
     }
@@ -190,21 +193,21 @@
 }
 
 Task<std::size_t>
-PlatformWorld::AskMany(std::size_t aCount)
+PlatformHarness::SendRequests(std::size_t aCount)
 {
   constexpr unsigned kOk = 200;
   std::size_t answered = 0;
   for (std::size_t i = 0; i < aCount; ++i) {
-    CallerSend send;
+    CallerMessage send;
     send.attempt = "many-" + std::to_string(i);
-    const CallerView seen = co_await this->Ask(std::move(send));
+    const CallerResponse seen = co_await this->SendRequest(std::move(send));
     answered += seen.status == kOk ? 1 : 0;
   }
   co_return answered;
 }
 
 void
-PlatformWorld::Run(Task<void> aTask)
+PlatformHarness::Run(Task<void> aTask)
 {
   RunOn(this->state->pool, std::move(aTask));
 }
--- a/test/PlatformWorld.h
+++ b/test/PlatformHarness.h
@@ -18,17 +18,17 @@
 namespace toucanshed::test {
 
 /** What a caller sees of one request. */
-struct CallerView
+struct CallerResponse
 {
   unsigned status = 0; // 0: no answer
   std::string body;
   std::string seal;
-  std::string comeBack; // Retry-After
+  std::string retryAfter; // Retry-After
   bool complete = false;
 };
 
 /** A request as a caller sends it. */
-struct CallerSend
+struct CallerMessage
 {
   std::string path = "/book/1";
   std::string attempt = "a1";
@@ -37,14 +37,14 @@
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-class PlatformWorld
+class PlatformHarness
 {
 public:
   /** \param aPort first of the ports that the world may use. */
-  explicit PlatformWorld(std::uint16_t aPort);
-  ~PlatformWorld();
-  PlatformWorld(const PlatformWorld&) = delete;
-  PlatformWorld& operator=(const PlatformWorld&) = delete;
+  explicit PlatformHarness(std::uint16_t aPort);
+  ~PlatformHarness();
+  PlatformHarness(const PlatformHarness&) = delete;
+  PlatformHarness& operator=(const PlatformHarness&) = delete;
 
   /** The configuration that the world starts with, as operators write it:
    * /book/ may run once, /look/ is idempotent, /chat/ streams once, /report/ is
@@ -61,10 +61,10 @@
   std::string EntryOf(const std::string& aId,
                       const std::string& aState = "ready") const;
   /** Sends one request to the daemon. */
-  Task<CallerView> Ask(CallerSend aSend);
+  Task<CallerResponse> SendRequest(CallerMessage aSend);
   /** Sends requests one after the other.
    * \return those that were answered with 200 */
-  Task<std::size_t> AskMany(std::size_t aCount);
+  Task<std::size_t> SendRequests(std::size_t aCount);
   /** Runs the test's coroutine to its end. */
   void Run(Task<void> aTask);
 
@@ -73,13 +73,13 @@
   std::unique_ptr<ServingState> state;
 
 private:
-  Endpoint Serve(HttpHandler aHandler);
+  Endpoint StartServer(HttpHandler aHandler);
 
   std::uint16_t port;
   Endpoint callers;
   std::vector<std::unique_ptr<HttpServer>> servers;
   std::map<std::string, std::unique_ptr<standin::PlatformEngine>> engines;
-  std::map<std::string, std::pair<std::string, Endpoint>> places;
+  std::map<std::string, std::pair<std::string, Endpoint>> engineAddresses;
   std::map<std::string, HttpServer*> engineServers;
 };
 
--- a/test/QuotaWorld.h
+++ b/test/QuotaSimulation.h
@@ -17,10 +17,10 @@
 namespace toucanshed::test {
 
 /** What the network does to words. */
-struct WordLoss
+struct QuotaNetwork
 {
-  double lost = 0;    // part of them
-  Millis latest{ 3 }; // the latest arrive after this
+  double lossRate = 0;  // part of them
+  Millis maxDelay{ 3 }; // the latest arrive after this
 };
 
 /** What is asked of the team's limit. */
@@ -33,28 +33,28 @@
 /** What callers saw. */
 struct QuotaCounts
 {
-  double asked = 0;
-  double passed = 0;
-  double mostInWindow = 0; // passed within any 8 s
+  double requested = 0;
+  double admitted = 0;
+  double maxInWindow = 0; // passed within any 8 s
 };
 
-class QuotaWorld
+class QuotaSimulation
 {
 public:
   static constexpr Millis kWindow{ 8000 };
 
   /** \param aRate of the team, each second; its burst is one second of it. */
-  QuotaWorld(std::size_t aDaemons, double aRate, WordLoss aLoss);
+  QuotaSimulation(std::size_t aDaemons, double aRate, QuotaNetwork aLoss);
 
   /** Plays requests, each to a daemon chosen at random. */
-  void Play(Millis aFor, QuotaLoad aLoad);
+  void Run(Millis aFor, QuotaLoad aLoad);
   /** All processes die at once and are back aAfter later, one after the other
    * within aSpread, knowing nothing but who the others are. */
-  void KillAll(Millis aAfter, Millis aSpread);
+  void RestartAll(Millis aAfter, Millis aSpread);
   /** One process dies and is back aAfter later. */
-  void Kill(std::size_t aDaemon, Millis aAfter);
+  void Restart(std::size_t aDaemon, Millis aAfter);
   /** No words pass between aGroup and the others. */
-  void CutOff(std::set<std::size_t> aGroup, bool aFromStore);
+  void Partition(std::set<std::size_t> aGroup, bool aFromStore);
   /** Counts from here on. */
   void ResetCounts();
 
@@ -62,26 +62,26 @@
   /** What a window may hold at most. */
   [[nodiscard]] double Allowed() const;
   /** Between two regular words of a daemon. */
-  [[nodiscard]] Millis Interval() const;
+  [[nodiscard]] Millis ReportInterval() const;
 
 private:
   struct Daemon
   {
     std::unique_ptr<TeamQuotas> quotas;
     std::unique_ptr<QuotaExchange> exchange;
-    TimePoint upAt;
-    std::uint64_t life = 1;
-    TimePoint wordAt;
-    std::size_t wordPart = 0;
+    TimePoint restartsAt;
+    std::uint64_t incarnation = 1;
+    TimePoint reportAt;
+    std::size_t reportBatch = 0;
     bool up = false;
   };
-  struct Word
+  struct Message
   {
     std::size_t to = 0;
-    serving::QuotaWord word;
-    QuotaTelling telling = QuotaTelling::eAtOnce;
+    serving::QuotaReport report;
+    QuotaReportTiming timing = QuotaReportTiming::eImmediate;
   };
-  struct Passed
+  struct Admission
   {
     TimePoint at;
     double cost = 0;
@@ -89,31 +89,31 @@
 
   void Step();
   void Start(std::size_t aDaemon);
-  void Speak(std::size_t aDaemon);
-  void Ask(std::size_t aDaemon, double aCost);
+  void SendReport(std::size_t aDaemon);
+  void IssueRequest(std::size_t aDaemon, double aCost);
   void Send(std::size_t aFrom,
             std::size_t aTo,
-            const serving::QuotaWord& aWord,
-            QuotaTelling aTelling);
+            const serving::QuotaReport& aWord,
+            QuotaReportTiming aTelling);
   void Deliver();
   void Refresh(Daemon& aDaemon);
-  void Count(double aCost);
-  [[nodiscard]] serving::QuotaWord WordOf(std::size_t aDaemon) const;
-  [[nodiscard]] bool Separated(std::size_t aOne, std::size_t aOther) const;
+  void RecordAdmission(double aCost);
+  [[nodiscard]] serving::QuotaReport ReportOf(std::size_t aDaemon) const;
+  [[nodiscard]] bool ArePartitioned(std::size_t aOne, std::size_t aOther) const;
 
   Catalog catalog;
   QuotaTolerance tolerance;
-  WordLoss loss;
+  QuotaNetwork network;
   TimePoint now{ 1000 };
   std::vector<Daemon> daemons;
-  std::multimap<TimePoint, Word> onTheWay;
-  std::set<std::size_t> cutOff;
-  bool cutFromStore = false;
-  double owed = 0; // of the load, until it makes a whole request
+  std::multimap<TimePoint, Message> inTransit;
+  std::set<std::size_t> partitioned;
+  bool partitionedFromStore = false;
+  double pendingLoad = 0; // of the load, until it makes a whole request
   Random random{ 7 };
   QuotaCounts counts;
-  std::deque<Passed> lately;
-  double latelySum = 0;
+  std::deque<Admission> recentAdmissions;
+  double recentCost = 0;
 };
 
 } // namespace toucanshed::test
--- a/test/correctness/BackendTableTest.cpp
+++ b/test/correctness/BackendTableTest.cpp
@@ -18,7 +18,7 @@
   entry.address = "127.0.0.1:1";
   entry.zone = ZoneId{ "a" };
   entry.slots = 8;
-  entry.born = aBorn;
+  entry.incarnation = aBorn;
   return entry;
 }
 
@@ -26,12 +26,12 @@
 ChooseOne(BackendTable& aTable, TimePoint aNow)
 {
   return Placer(ZoneId{ "a" })
-    .Choose(aTable.Of(kService), PlacementRequest{}, nullptr, aNow);
+    .Choose(aTable.ForService(kService), PlacementRequest{}, nullptr, aNow);
 }
 
 } // namespace
 
-TEST_CASE("an engine that gives no sign while it has work gets no more of it")
+TEST_CASE("a stalled engine gets no new requests")
 {
   // An engine goes dark with its connections open: what was sent there hangs
   // until its time is over. Without this every new request that finds it "less
@@ -39,50 +39,52 @@
   BackendTable table;
   table.Put(Entry("e1"));
   table.Put(Entry("e2"));
-  table.Find(InstanceId{ "e2" })->own.running = 6; // e1 is the less loaded
-  table.Find(InstanceId{ "e2" })->progressAt = kNow + Backend::kStalled;
-  table.Find(InstanceId{ "e1" })->own.running = 1;
-  table.Progressed(InstanceId{ "e1" }, kNow);
+  table.Find(InstanceId{ "e2" })->localLoad.running =
+    6; // e1 is the less loaded
+  table.Find(InstanceId{ "e2" })->lastProgressAt =
+    kNow + Backend::kStallTimeout;
+  table.Find(InstanceId{ "e1" })->localLoad.running = 1;
+  table.RecordProgress(InstanceId{ "e1" }, kNow);
   CHECK(ChooseOne(table, kNow + Millis(100))->backend.value == "e1");
-  const TimePoint later = kNow + Backend::kStalled + Millis(1);
+  const TimePoint later = kNow + Backend::kStallTimeout + Millis(1);
   CHECK(ChooseOne(table, later)->backend.value == "e2");
-  table.Progressed(InstanceId{ "e1" }, later);
+  table.RecordProgress(InstanceId{ "e1" }, later);
   CHECK(ChooseOne(table, later)->backend.value == "e1");
 }
 
-TEST_CASE("a slow engine gets less and is taken back as it recovers")
+TEST_CASE("a slow engine gets fewer requests until it recovers")
 {
   BackendTable table;
   table.Put(Entry("e1"));
   table.Put(Entry("e2"));
-  table.Find(InstanceId{ "e2" })->own.running = 3;
-  table.Find(InstanceId{ "e2" })->progressAt = kNow;
+  table.Find(InstanceId{ "e2" })->localLoad.running = 3;
+  table.Find(InstanceId{ "e2" })->lastProgressAt = kNow;
   for (int i = 0; i < 20; ++i) {
-    table.Began(InstanceId{ "e1" }, 400, 50);
+    table.RecordResponseStart(InstanceId{ "e1" }, 400, 50);
   }
   CHECK(ChooseOne(table, kNow)->backend.value == "e2");
   for (int i = 0; i < 20; ++i) {
-    table.Began(InstanceId{ "e1" }, 50, 50);
+    table.RecordResponseStart(InstanceId{ "e1" }, 50, 50);
   }
   CHECK(ChooseOne(table, kNow)->backend.value == "e1");
 }
 
-TEST_CASE("failures in a row pause an engine, longer each time, never for good")
+TEST_CASE("consecutive failures pause an engine, up to a maximum")
 {
   BackendTable table;
   table.Put(Entry("e1"));
-  table.Failed(InstanceId{ "e1" }, kNow);
+  table.RecordFailure(InstanceId{ "e1" }, kNow);
   CHECK(ChooseOne(table, kNow).has_value());
-  table.Failed(InstanceId{ "e1" }, kNow);
+  table.RecordFailure(InstanceId{ "e1" }, kNow);
   CHECK_FALSE(ChooseOne(table, kNow).has_value());
-  CHECK(ChooseOne(table, kNow + BackendTable::kFirstPause).has_value());
+  CHECK(ChooseOne(table, kNow + BackendTable::kInitialPause).has_value());
   for (int i = 0; i < 30; ++i) {
-    table.Failed(InstanceId{ "e1" }, kNow);
+    table.RecordFailure(InstanceId{ "e1" }, kNow);
   }
-  CHECK(ChooseOne(table, kNow + BackendTable::kLongestPause).has_value());
+  CHECK(ChooseOne(table, kNow + BackendTable::kMaxPause).has_value());
 }
 
-TEST_CASE("another life under a known id starts anew")
+TEST_CASE("a new incarnation resets a back end's state")
 {
   // An engine crashes and starts again under its id. It is neither leaving nor
   // slow any more; requests sent to the life before are still counted until
@@ -90,12 +92,12 @@
   BackendTable table;
   table.Put(Entry("e1", 1));
   table.MarkLeaving(InstanceId{ "e1" });
-  table.Find(InstanceId{ "e1" })->own.running = 2;
+  table.Find(InstanceId{ "e1" })->localLoad.running = 2;
   table.Put(Entry("e1", 1));
   CHECK(table.Find(InstanceId{ "e1" })->leaving);
   table.Put(Entry("e1", 2));
   CHECK_FALSE(table.Find(InstanceId{ "e1" })->leaving);
-  CHECK(table.Find(InstanceId{ "e1" })->own.running == 2);
+  CHECK(table.Find(InstanceId{ "e1" })->localLoad.running == 2);
 }
 
 } // namespace toucanshed::test
--- a/test/correctness/ClaimCoordinatorTest.cpp
+++ b/test/correctness/ClaimCoordinatorTest.cpp
@@ -7,7 +7,7 @@
 
 constexpr Millis kWindow{ 60000 };
 const TimePoint kNow{ 1000000 };
-const CallKey kKey{ "crews/jobdesk/1000-a" };
+const IdempotencyKey kKey{ "crews/jobdesk/1000-a" };
 const Fingerprint kPrint{ 7 };
 
 /** The next batch of a daemon, as the log would take it. */
@@ -16,20 +16,20 @@
 {
   auto batch = aClaims.Queue().NextToSend();
   REQUIRE(batch);
-  aClaims.Queue().Settled(batch->sequence());
+  aClaims.Queue().MarkCommitted(batch->sequence());
   return *batch;
 }
 
 } // namespace
 
-TEST_CASE("the first claim in the log owns the key, the second is foreign")
+TEST_CASE("only the first claim in the log may be dispatched")
 {
   ClaimCoordinator first(WriterId{ "a/1" }, kWindow);
   ClaimCoordinator second(WriterId{ "b/1" }, kWindow);
   const AttemptId mine{ "a1" };
   const AttemptId other{ "b1" };
-  REQUIRE(first.Ask(kKey, kPrint, mine, kNow) == ClaimAsk::eClaiming);
-  REQUIRE(second.Ask(kKey, kPrint, other, kNow) == ClaimAsk::eClaiming);
+  REQUIRE(first.TryClaim(kKey, kPrint, mine, kNow) == KeyStatus::eClaiming);
+  REQUIRE(second.TryClaim(kKey, kPrint, other, kNow) == KeyStatus::eClaiming);
   const records::Batch one = Sent(first);
   const records::Batch two = Sent(second);
   for (ClaimCoordinator* daemon : { &first, &second }) {
@@ -39,10 +39,10 @@
   CHECK(first.Dispatch(mine, kNow));
   CHECK_FALSE(first.Dispatch(mine, kNow));
   CHECK_FALSE(second.Dispatch(other, kNow));
-  CHECK(second.PhaseOf(other) == ClaimPhase::eForeign);
+  CHECK(second.PhaseOf(other) == ClaimPhase::eHeldByOther);
 }
 
-TEST_CASE("a late copy of an abandoned claim does not take the key again")
+TEST_CASE("a delayed duplicate of an abandoned claim is ignored")
 {
   // The append of a claim gets no answer and is sent again; the caller is told
   // "not run" and the claim abandoned. Then the first copy lands. Were it
@@ -50,60 +50,60 @@
   // of the window, though nothing ever ran.
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  daemon.Ask(kKey, kPrint, attempt, kNow);
+  daemon.TryClaim(kKey, kPrint, attempt, kNow);
   const records::Batch claim = *daemon.Queue().NextToSend();
-  daemon.Queue().Unclear();
+  daemon.Queue().AllowResend();
   daemon.Apply(1, claim);
   REQUIRE(daemon.Abandon(attempt));
   daemon.Apply(2, Sent(daemon));
   daemon.Apply(3, claim);
   CHECK(daemon.Table().Find(kKey) == nullptr);
-  CHECK(daemon.Ask(kKey, kPrint, AttemptId{ "a2" }, kNow) ==
-        ClaimAsk::eClaiming);
+  CHECK(daemon.TryClaim(kKey, kPrint, AttemptId{ "a2" }, kNow) ==
+        KeyStatus::eClaiming);
 }
 
-TEST_CASE("a claim is not dispatched once its key has left the window")
+TEST_CASE("no dispatch once the key is outside the window")
 {
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  daemon.Ask(kKey, kPrint, attempt, kNow);
+  daemon.TryClaim(kKey, kPrint, attempt, kNow);
   daemon.Apply(1, Sent(daemon));
   CHECK_FALSE(daemon.Dispatch(attempt, kNow + kWindow));
   CHECK(daemon.Abandon(attempt));
 }
 
-TEST_CASE("a key repeated with another body is told apart")
+TEST_CASE("a key reused for a different request is rejected")
 {
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
-  daemon.Ask(kKey, kPrint, AttemptId{ "a1" }, kNow);
+  daemon.TryClaim(kKey, kPrint, AttemptId{ "a1" }, kNow);
   daemon.Apply(1, Sent(daemon));
-  CHECK(daemon.Ask(kKey, Fingerprint{ 8 }, AttemptId{ "a2" }, kNow) ==
-        ClaimAsk::eOtherBody);
+  CHECK(daemon.TryClaim(kKey, Fingerprint{ 8 }, AttemptId{ "a2" }, kNow) ==
+        KeyStatus::eRequestMismatch);
 }
 
-TEST_CASE("an outcome is replayed to a repeated key at another daemon")
+TEST_CASE("a repeated key finds its outcome on another daemon")
 {
   ClaimCoordinator first(WriterId{ "a/1" }, kWindow);
   ClaimCoordinator second(WriterId{ "b/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  first.Ask(kKey, kPrint, attempt, kNow);
+  first.TryClaim(kKey, kPrint, attempt, kNow);
   const records::Batch claim = Sent(first);
   first.Apply(1, claim);
   second.Apply(1, claim);
-  CHECK(second.Ask(kKey, kPrint, AttemptId{ "b1" }, kNow) ==
-        ClaimAsk::eHeldElsewhere);
+  CHECK(second.TryClaim(kKey, kPrint, AttemptId{ "b1" }, kNow) ==
+        KeyStatus::eInProgress);
   REQUIRE(first.Dispatch(attempt, kNow));
-  ClaimAnswer answer;
+  ClaimOutcome answer;
   answer.status = 200;
   answer.body = "booked";
-  first.Answered(attempt, answer);
+  first.Complete(attempt, answer);
   second.Apply(2, Sent(first));
-  REQUIRE(second.Ask(kKey, kPrint, AttemptId{ "b2" }, kNow) ==
-          ClaimAsk::eEnded);
-  CHECK(second.Table().Find(kKey)->answer->body == "booked");
+  REQUIRE(second.TryClaim(kKey, kPrint, AttemptId{ "b2" }, kNow) ==
+          KeyStatus::eOutcomeRecorded);
+  CHECK(second.Table().Find(kKey)->outcome->body == "booked");
 }
 
-TEST_CASE("keys leave the table when the time written in the log passes them")
+TEST_CASE("keys expire by the timestamps of log records")
 {
   ClaimTable table(kWindow);
   records::Claim claim;
--- a/test/correctness/EventSplitterTest.cpp
+++ b/test/correctness/EventSplitterTest.cpp
@@ -13,7 +13,7 @@
 }
 
 std::string
-TakeAll(EventSplitter& aSplitter)
+NextEvents(EventSplitter& aSplitter)
 {
   std::string text;
   while (auto event = aSplitter.Next()) {
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("events leave whole, wherever the bytes are cut")
+TEST_CASE("only whole events are returned for any chunk sizes")
 {
   rc::prop("any cuts", [] {
     std::string whole;
@@ -38,29 +38,29 @@
       const auto cut = *rc::gen::inRange<std::size_t>(1, rest.size() + 1);
       splitter.Add(rest.substr(0, cut));
       rest.erase(0, cut);
-      const std::string given = TakeAll(splitter);
+      const std::string given = NextEvents(splitter);
       RC_ASSERT(given.empty() || given.ends_with("\n\n"));
       seen += given;
     }
     RC_ASSERT(seen == whole);
-    RC_ASSERT(!splitter.HasRest());
+    RC_ASSERT(!splitter.HasPartialEvent());
   });
 }
 
-TEST_CASE("a stream taken up elsewhere neither repeats nor skips")
+TEST_CASE("a resumed stream drops repeats and detects gaps")
 {
   EventSplitter splitter;
   splitter.Add(EventText(4) + EventText(5) + "id: 6\nda");
-  CHECK(TakeAll(splitter) == EventText(4) + EventText(5));
-  splitter.Restart();
+  CHECK(NextEvents(splitter) == EventText(4) + EventText(5));
+  splitter.DiscardPartialEvent();
   splitter.Add(EventText(5) + EventText(6));
-  CHECK(TakeAll(splitter) == EventText(6));
+  CHECK(NextEvents(splitter) == EventText(6));
   splitter.Add(EventText(8));
-  CHECK(TakeAll(splitter).empty());
+  CHECK(NextEvents(splitter).empty());
   CHECK(splitter.Broken());
 }
 
-TEST_CASE("line ends of both kinds separate events")
+TEST_CASE("events may end with LF or CRLF line breaks")
 {
   EventSplitter splitter;
   splitter.Add("id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n");
--- a/test/correctness/ScalePlannerTest.cpp
+++ b/test/correctness/ScalePlannerTest.cpp
@@ -11,10 +11,10 @@
 FourZones()
 {
   ScaleBounds bounds;
-  bounds.least = 1;
-  bounds.most = 6;
+  bounds.minEngines = 1;
+  bounds.maxEngines = 6;
   bounds.bootTime = Millis(4000);
-  bounds.reclaimablePrice = 0.18;
+  bounds.reclaimablePriceRatio = 0.18;
   bounds.zonePrices = { { ZoneId{ "a" }, 1.0 },
                         { ZoneId{ "b" }, 0.8 },
                         { ZoneId{ "c" }, 1.25 },
@@ -28,9 +28,9 @@
 }
 
 /** Engines that come when they are ordered. */
-struct ScaleWorld
+struct ScaleSimulation
 {
-  static InstanceId NameOf(int aNumber)
+  static InstanceId InstanceName(int aNumber)
   {
     return InstanceId{ "e" + std::to_string(aNumber) };
   }
@@ -39,7 +39,7 @@
   {
     for (unsigned i = 0; i < aCount; ++i) {
       BackendEntry entry;
-      entry.id = NameOf(this->next++);
+      entry.id = InstanceName(this->next++);
       entry.service = kService;
       entry.zone = ZoneId{ aZone };
       entry.reclaimable = aReclaimable;
@@ -48,13 +48,13 @@
     }
   }
 
-  unsigned Count(const std::string& aZone, bool aReclaimable) const
+  unsigned CountEngines(const std::string& aZone, bool aReclaimable) const
   {
     unsigned count = 0;
     for (const auto& [id, backend] : this->table.All()) {
-      const bool stopped = this->move &&
-                           this->move->stage == MoveStage::eCompleted &&
-                           backend.entry.version != this->move->order.target;
+      const bool stopped = this->rollout &&
+                           this->rollout->phase == RolloutPhase::eCompleted &&
+                           backend.entry.version != this->rollout->order.target;
       const bool counts = !backend.leaving && !stopped &&
                           backend.entry.reclaimable == aReclaimable &&
                           (aZone.empty() || backend.entry.zone.value == aZone);
@@ -72,17 +72,17 @@
     }
   }
 
-  void Obey(const GroupOrder& aOrder)
+  void Apply(const GroupTarget& aOrder)
   {
     const std::string& zone = aOrder.group.zone.value;
-    const unsigned there = this->Count(zone, aOrder.group.reclaimable);
+    const unsigned there = this->CountEngines(zone, aOrder.group.reclaimable);
     if (aOrder.desired > there) {
       this->Add(zone, aOrder.group.reclaimable, aOrder.desired - there);
     }
     unsigned surplus = there > aOrder.desired ? there - aOrder.desired : 0;
     // The newest go first.
     for (int i = this->next - 1; i >= 0; --i) {
-      const Backend* backend = this->table.Find(NameOf(i));
+      const Backend* backend = this->table.Find(InstanceName(i));
       const bool goes = surplus > 0 && !backend->leaving &&
                         backend->entry.zone == aOrder.group.zone &&
                         backend->entry.reclaimable == aOrder.group.reclaimable;
@@ -94,23 +94,26 @@
   }
 
   /** One review a second. \return how many orders were given. */
-  std::size_t Play(double aNeeded, int aSeconds, bool aNoneToBeHad = false)
+  std::size_t Run(double aNeeded, int aSeconds, bool aNoneToBeHad = false)
   {
     constexpr Millis kSecond{ 1000 };
     std::size_t given = 0;
     for (int i = 0; i < aSeconds; ++i) {
       this->now = this->now + kSecond;
-      for (const GroupOrder& order : this->planner.Plan(
-             FourZones(), aNeeded, this->table, this->Move(), this->now)) {
+      for (const GroupTarget& order : this->planner.Plan(FourZones(),
+                                                         aNeeded,
+                                                         this->table,
+                                                         this->CurrentRollout(),
+                                                         this->now)) {
         ++given;
         const bool refused =
           aNoneToBeHad && order.group.reclaimable &&
-          order.desired > this->Count(order.group.zone.value, true);
+          order.desired > this->CountEngines(order.group.zone.value, true);
         if (refused) {
-          this->planner.Refused(order, this->now);
+          this->planner.RecordRefused(order, this->now);
         } else {
-          this->planner.Accepted(order, this->now);
-          this->Obey(order);
+          this->planner.RecordAccepted(order, this->now);
+          this->Apply(order);
         }
       }
     }
@@ -119,12 +122,12 @@
 
   /** Begins a move to a new version, as many engines of which are started as
    * the service has. */
-  void BeginMove(unsigned aInEachZone)
+  void StartRollout(unsigned aInEachZone)
   {
-    this->move = VersionMove{};
-    this->move->order.service = kService;
-    this->move->order.target = VersionId{ "v2" };
-    this->move->order.position = Position{ 5 };
+    this->rollout = Rollout{};
+    this->rollout->order.service = kService;
+    this->rollout->order.target = VersionId{ "v2" };
+    this->rollout->order.position = Position{ 5 };
     this->version = VersionId{ "v2" };
     for (const char* zone : { "a", "b", "c", "d" }) {
       this->Add(zone, false, aInEachZone);
@@ -143,12 +146,12 @@
     return count;
   }
 
-  const VersionMove* Move() const
+  const Rollout* CurrentRollout() const
   {
-    return this->move ? &*this->move : nullptr;
+    return this->rollout ? &*this->rollout : nullptr;
   }
 
-  std::optional<VersionMove> move;
+  std::optional<Rollout> rollout;
   VersionId version{ "v1" };
   BackendTable table;
   ScalePlanner planner;
@@ -159,121 +162,126 @@
 } // namespace
 
 // Engines in need are counted as if they did all their work.
-TEST_CASE("engines in need are replaced by as much as they take no more")
+TEST_CASE("rate-limited engines are replaced by their lost share")
 {
   constexpr RequestRate kUsual{ 10 };
-  CHECK(ScalePlanner::LostToNeed({}, kUsual) == 0);
-  CHECK(ScalePlanner::LostToNeed({ RequestRate{ 2.5 }, RequestRate{ 0 } },
-                                 kUsual) == Approx(1.75));
-  CHECK(ScalePlanner::LostToNeed({ RequestRate{ 30 } }, kUsual) == 0);
-  CHECK(ScalePlanner::LostToNeed({ RequestRate{ 1 } }, RequestRate{ 0 }) == 0);
+  CHECK(ScalePlanner::LostToRateLimits({}, kUsual) == 0);
+  CHECK(ScalePlanner::LostToRateLimits({ RequestRate{ 2.5 }, RequestRate{ 0 } },
+                                       kUsual) == Approx(1.75));
+  CHECK(ScalePlanner::LostToRateLimits({ RequestRate{ 30 } }, kUsual) == 0);
+  CHECK(ScalePlanner::LostToRateLimits({ RequestRate{ 1 } },
+                                       RequestRate{ 0 }) == 0);
 }
 
 // Half of the engines name limits, and the other half gets the whole load.
-TEST_CASE("engines are ordered in place of those in need, and given back")
+TEST_CASE("rate-limited engines get replacements until recovery")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 2);
-  world.Play(8, 40);
-  const unsigned before = world.Count("", true) + world.Count("", false);
-  world.planner.SetLost(kService, 4);
-  world.Play(8, 20);
-  CHECK(world.Count("", true) + world.Count("", false) >= before + 4);
-  world.planner.SetLost(kService, 0);
-  world.Play(8, 60);
-  CHECK(world.Count("", true) + world.Count("", false) == before);
+  world.Run(8, 40);
+  const unsigned before =
+    world.CountEngines("", true) + world.CountEngines("", false);
+  world.planner.SetLostEngines(kService, 4);
+  world.Run(8, 20);
+  CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
+        before + 4);
+  world.planner.SetLostEngines(kService, 0);
+  world.Run(8, 60);
+  CHECK(world.CountEngines("", true) + world.CountEngines("", false) == before);
 }
 
-TEST_CASE("an operator's engines stay until others can bear their work")
+TEST_CASE("initial engines stay until others can serve the load")
 {
   // A peak may begin at once. Before any demand was seen, on-demand engines
   // are given up only as far as those that stay are enough for what the
   // operator has sized the service for.
-  ScaleWorld world;
+  ScaleSimulation world;
   for (const char* zone : { "a", "b", "c", "d" }) {
     world.Add(zone, false, 4);
   }
   for (int second = 0; second < 20; ++second) {
-    world.Play(0, 1);
-    CHECK(world.Count("", true) + world.Count("", false) >=
-          16 * ScalePlanner::kFirstPart);
+    world.Run(0, 1);
+    CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
+          16 * ScalePlanner::kInitialShare);
   }
-  CHECK(world.Count("", false) < 8);
+  CHECK(world.CountEngines("", false) < 8);
 }
 
-TEST_CASE("engines that are not listed yet are not taken for missing")
+TEST_CASE("engines not listed yet do not count as missing")
 {
   // All daemons start at once, and the engines' first heartbeats come over the
   // next two seconds. A plan made from the first four of them would have most
   // of the 18 engines drained just before the traffic begins.
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 4);
-  CHECK(world.Play(0, 1) == 0);
+  CHECK(world.Run(0, 1) == 0);
   world.Add("b", false, 7);
-  CHECK(world.Play(0, 1) == 0);
+  CHECK(world.Run(0, 1) == 0);
   world.Add("c", false, 7);
   for (int second = 0; second < 20; ++second) {
-    world.Play(0, 1);
-    CHECK(world.Count("", true) + world.Count("", false) >=
-          18 * ScalePlanner::kFirstPart);
+    world.Run(0, 1);
+    CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
+          18 * ScalePlanner::kInitialShare);
   }
 }
 
-TEST_CASE("a daemon that takes over orders at once what a reclaim has taken")
+TEST_CASE("a new duty holder replaces reclaimed engines at once")
 {
   // The holder of the duties is gone and a failure domain is reclaimed. The
   // next holder has watched the engines all along and need not wait.
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 2);
-  world.Play(8, 40);
+  world.Run(8, 40);
   ScalePlanner next;
   for (int second = 0; second < 30; ++second) {
     world.now = world.now + Millis(1000);
-    next.Watch(kService, world.table, nullptr, world.now);
+    next.Observe(kService, world.table, nullptr, world.now);
   }
   world.Reclaim("a");
   world.planner = next;
   world.now = world.now - Millis(500);
-  CHECK(world.Play(8, 1) > 0);
+  CHECK(world.Run(8, 1) > 0);
 }
 
-TEST_CASE("one failure domain's reclaim leaves the engines that are needed")
+TEST_CASE("one zone's reclaim leaves enough engines")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 2);
-  world.Play(8, 40);
+  world.Run(8, 40);
   for (const char* zone : { "a", "b", "c", "d" }) {
-    ScaleWorld reclaimed = world;
+    ScaleSimulation reclaimed = world;
     reclaimed.Reclaim(zone);
-    CHECK(reclaimed.Count("", true) + reclaimed.Count("", false) >= 8);
+    CHECK(reclaimed.CountEngines("", true) +
+            reclaimed.CountEngines("", false) >=
+          8);
   }
 }
 
-TEST_CASE("on-demand engines stand in while reclaimable ones cannot be had")
+TEST_CASE("on-demand engines replace unavailable reclaimable ones")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 2);
-  world.Play(8, 40);
-  const unsigned calm = world.Count("", false);
+  world.Run(8, 40);
+  const unsigned calm = world.CountEngines("", false);
   for (const char* zone : { "a", "b", "d" }) {
     world.Reclaim(zone);
   }
-  world.Play(8, 6, true);
-  CHECK(world.Count("", true) + world.Count("", false) >= 8);
-  CHECK(world.Count("", false) > calm);
-  world.Play(8, 20);
-  CHECK(world.Count("", false) == calm);
+  world.Run(8, 6, true);
+  CHECK(world.CountEngines("", true) + world.CountEngines("", false) >= 8);
+  CHECK(world.CountEngines("", false) > calm);
+  world.Run(8, 20);
+  CHECK(world.CountEngines("", false) == calm);
 }
 
-TEST_CASE("a steady demand gives no further orders")
+TEST_CASE("steady demand causes no further orders")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("a", false, 2);
-  world.Play(8, 40);
-  CHECK(world.Play(8, 40) == 0);
+  world.Run(8, 40);
+  CHECK(world.Run(8, 40) == 0);
 }
 
-TEST_CASE("a row of reclaims finds on-demand engines there already")
+TEST_CASE("repeated reclaims find on-demand engines in place")
 {
   // All failure domains are reclaimed, two seconds apart, and no reclaimable
   // engine is to be had. Engines take four seconds to come: those that are
@@ -281,68 +289,68 @@
   // waits. As many domains as have gone are taken to follow.
   constexpr double kNeeded = 10;
   constexpr double kSuffices = 0.7;
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("b", false, 8);
-  world.Play(kNeeded, 60);
+  world.Run(kNeeded, 60);
   world.Reclaim("a");
-  world.Play(kNeeded, 2, true);
+  world.Run(kNeeded, 2, true);
   world.Reclaim("b");
-  world.Play(kNeeded, 1, true);
-  CHECK(world.Count("", false) >= kSuffices * kNeeded);
+  world.Run(kNeeded, 1, true);
+  CHECK(world.CountEngines("", false) >= kSuffices * kNeeded);
 }
 
-TEST_CASE("one reclaim alone orders no more than its loss asks for")
+TEST_CASE("a single reclaim orders only what it lost")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   world.Add("b", false, 8);
-  world.Play(10, 60);
-  const unsigned before = world.Count("", false);
+  world.Run(10, 60);
+  const unsigned before = world.CountEngines("", false);
   world.Reclaim("a");
-  world.Play(10, 2, true);
-  CHECK(world.Count("", false) <= before + 1);
+  world.Run(10, 2, true);
+  CHECK(world.CountEngines("", false) <= before + 1);
 }
 
-TEST_CASE("engines of a new version are kept until they bear the traffic")
+TEST_CASE("required new-version engines are kept in a rollout")
 {
   // An operator starts as many engines of the new version as are needed. They
   // are the newest, so an order that counts them as surplus drains them, and
   // what is ordered instead has the old version, which stops at the move's end.
-  ScaleWorld world;
+  ScaleSimulation world;
   for (const char* zone : { "a", "b", "c", "d" }) {
     world.Add(zone, false, 3);
   }
-  world.Play(8, 40);
-  world.BeginMove(3);
-  world.Play(8, 15);
+  world.Run(8, 40);
+  world.StartRollout(3);
+  world.Run(8, 15);
   CHECK(world.CountVersion("v2") >= 8);
 }
 
-TEST_CASE("engines of a new version that nobody needs are given back")
+TEST_CASE("surplus new-version engines are released")
 {
-  ScaleWorld world;
+  ScaleSimulation world;
   for (const char* zone : { "a", "b", "c", "d" }) {
     world.Add(zone, false, 6);
   }
-  world.Play(3, 40);
-  world.BeginMove(6);
-  world.Play(3, 15);
+  world.Run(3, 40);
+  world.StartRollout(6);
+  world.Run(3, 15);
   CHECK(world.CountVersion("v2") >= 3);
   CHECK(world.CountVersion("v2") <= 8);
 }
 
-TEST_CASE("what a completed move has stopped is replaced at once")
+TEST_CASE("engines stopped by a completed rollout are replaced")
 {
   // The old engines are listed for seconds after they were stopped.
-  ScaleWorld world;
+  ScaleSimulation world;
   for (const char* zone : { "a", "b", "c", "d" }) {
     world.Add(zone, false, 3);
   }
-  world.Play(8, 40);
-  world.BeginMove(1);
-  world.Play(8, 10);
-  world.move->stage = MoveStage::eCompleted;
+  world.Run(8, 40);
+  world.StartRollout(1);
+  world.Run(8, 10);
+  world.rollout->phase = RolloutPhase::eCompleted;
   world.version = VersionId{ "v2" };
-  world.Play(8, 1);
+  world.Run(8, 1);
   CHECK(world.CountVersion("v2") >= 8);
 }
 
--- a/test/correctness/SuspectTableTest.cpp
+++ b/test/correctness/SuspectTableTest.cpp
@@ -4,7 +4,7 @@
 
 namespace toucanshed::test {
 
-TEST_CASE("of two suspects that would run alone on one engine one comes first")
+TEST_CASE("two suspects do not run isolated on one engine")
 {
   // Two daemons keep the same engine free at the same moment, each for its own
   // suspect. Run side by side, the guilty one would take the other with it.
@@ -12,12 +12,14 @@
   const std::string life = "engine-1/7";
   const Fingerprint one{ 11 };
   const Fingerprint two{ 22 };
-  CHECK(SuspectTable::ComesFirst(facts, one, life));
-  facts.Add(SuspectTable::AloneFact(one, life, TimePoint{ 9 }), TimePoint{ 0 });
-  facts.Add(SuspectTable::AloneFact(two, life, TimePoint{ 9 }), TimePoint{ 0 });
-  CHECK(SuspectTable::ComesFirst(facts, one, life));
-  CHECK_FALSE(SuspectTable::ComesFirst(facts, two, life));
-  CHECK(SuspectTable::ComesFirst(facts, two, "engine-2/7"));
+  CHECK(SuspectTable::HasIsolationPriority(facts, one, life));
+  facts.Add(SuspectTable::IsolationFact(one, life, TimePoint{ 9 }),
+            TimePoint{ 0 });
+  facts.Add(SuspectTable::IsolationFact(two, life, TimePoint{ 9 }),
+            TimePoint{ 0 });
+  CHECK(SuspectTable::HasIsolationPriority(facts, one, life));
+  CHECK_FALSE(SuspectTable::HasIsolationPriority(facts, two, life));
+  CHECK(SuspectTable::HasIsolationPriority(facts, two, "engine-2/7"));
 }
 
 } // namespace toucanshed::test
--- a/test/error/CallerErrors.cpp
+++ b/test/error/CallerErrors.cpp
@@ -1,4 +1,4 @@
-#include "test/SmallWorld.h"
+#include "test/DaemonHarness.h"
 
 #include "daemon/CallerApi.h"
 #include "edge/HttpExchange.h"
@@ -9,7 +9,7 @@
 namespace {
 
 /** What a caller sends, and what comes back. */
-struct Exchange
+struct CallerExchange
 {
   std::string target;
   std::string body;
@@ -21,7 +21,7 @@
 };
 
 Task<void>
-Play(SmallWorld& aWorld, Endpoint aServer, Exchange& aExchange)
+Play(DaemonHarness& aWorld, Endpoint aServer, CallerExchange& aExchange)
 {
   HttpRequest request =
     MakeRequest(http::verb::post, aExchange.target, aExchange.body);
@@ -30,7 +30,7 @@
     request.set("Toucanshed-Deadline-Ms", aExchange.deadline);
   }
   const auto reply = co_await Fetch(
-    aWorld.TheWorker(), aServer, std::move(request), CallTimeouts{}, true);
+    aWorld.FirstWorker(), aServer, std::move(request), CallTimeouts{}, true);
   if (reply) {
     aExchange.status = reply->result_int();
     aExchange.answer = reply->body();
@@ -39,24 +39,24 @@
 }
 
 /** Sends to a daemon's callers' port; every answer here must say "not-run". */
-Exchange
-Sent(std::uint16_t aPort, Exchange aExchange)
+CallerExchange
+Sent(std::uint16_t aPort, CallerExchange aExchange)
 {
-  SmallWorld world(aPort);
+  DaemonHarness world(aPort);
   HttpServer server(
     world.state.pool,
     HttpLimits{},
     [&](Worker& aWorker, const HttpRequest& aRequest, HttpResponder& aReply) {
       return HandleCaller(world.state, aWorker, aRequest, aReply);
     });
-  REQUIRE(server.Listen(world.state.settings.callers));
-  world.Run(Play(world, world.state.settings.callers, aExchange));
+  REQUIRE(server.Listen(world.state.settings.callerEndpoint));
+  world.Run(Play(world, world.state.settings.callerEndpoint, aExchange));
   CHECK(aExchange.outcome == "not-run");
   return aExchange;
 }
 
 bool
-Names(const Exchange& aExchange, const std::string& aText)
+MentionsText(const CallerExchange& aExchange, const std::string& aText)
 {
   return aExchange.answer.find(aText) != std::string::npos;
 }
@@ -65,61 +65,61 @@
 
 TEST_CASE("a caller without a known token gets 401")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/v1/chat/completions";
   exchange.token = "nobody";
-  const Exchange got = Sent(21500, exchange);
+  const CallerExchange got = Sent(21500, exchange);
   CHECK(got.status == 401);
-  CHECK(Names(got, "Authorization: given no token that is known"));
+  CHECK(MentionsText(got, "Authorization: given no token that is known"));
 }
 
-TEST_CASE("an unknown service and an unknown path get 404 with the choice")
+TEST_CASE("an unknown service or path gets 404 with the choices")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/v1/chat/completions";
   exchange.body = R"({"model":"other","messages":[{"content":"x"}]})";
-  const Exchange model = Sent(21501, exchange);
+  const CallerExchange model = Sent(21501, exchange);
   CHECK(model.status == 404);
-  CHECK(Names(model, "model: given \\\"other\\\""));
+  CHECK(MentionsText(model, "model: given \\\"other\\\""));
   exchange.target = "/v2/chat";
-  const Exchange path = Sent(21502, exchange);
+  const CallerExchange path = Sent(21502, exchange);
   CHECK(path.status == 404);
-  CHECK(Names(path, "/v1/chat/completions"));
+  CHECK(MentionsText(path, "/v1/chat/completions"));
 }
 
-TEST_CASE("a broken body gets 400 that names the field")
+TEST_CASE("an invalid body gets 400 that names the field")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/v1/chat/completions";
   exchange.body = R"({"model":"survey"})";
-  const Exchange got = Sent(21503, exchange);
+  const CallerExchange got = Sent(21503, exchange);
   CHECK(got.status == 400);
-  CHECK(Names(got, "messages: given nothing"));
+  CHECK(MentionsText(got, "messages: given nothing"));
 }
 
-TEST_CASE("a call that may not be repeated without a key gets 400")
+TEST_CASE("a non-idempotent call without a key gets 400")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/svc/jobdesk/bookings";
   exchange.body = "{}";
-  const Exchange got = Sent(21504, exchange);
+  const CallerExchange got = Sent(21504, exchange);
   CHECK(got.status == 400);
-  CHECK(Names(got, "Idempotency-Key: given nothing"));
+  CHECK(MentionsText(got, "Idempotency-Key: given nothing"));
 }
 
 TEST_CASE("a deadline out of range gets 400")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/v1/chat/completions";
   exchange.deadline = "soon";
-  const Exchange got = Sent(21505, exchange);
+  const CallerExchange got = Sent(21505, exchange);
   CHECK(got.status == 400);
-  CHECK(Names(got, "milliseconds from 1 to 600000"));
+  CHECK(MentionsText(got, "milliseconds from 1 to 600000"));
 }
 
-TEST_CASE("work that nobody accepted gets 404")
+TEST_CASE("an unknown id of accepted work gets 404")
 {
-  Exchange exchange;
+  CallerExchange exchange;
   exchange.target = "/v1/accepted/w-none";
   CHECK(Sent(21506, exchange).status == 404);
 }
--- a/test/error/DocumentErrors.cpp
+++ b/test/error/DocumentErrors.cpp
@@ -1,4 +1,4 @@
-#include "coord/Document.h"
+#include "coord/DocumentValidation.h"
 #include "daemon/CallerRequest.h"
 #include "daemon/Settings.h"
 
@@ -25,7 +25,7 @@
 ComplaintsOf(const std::string& aJson)
 {
   const auto parsed = ParseConfiguration(aJson);
-  return parsed ? "" : Describe(parsed.error());
+  return parsed ? "" : FormatValidationErrors(parsed.error());
 }
 
 std::string
@@ -43,19 +43,19 @@
 SettingsComplaints(const std::string& aJson)
 {
   const auto parsed = ParseSettings(aJson);
-  return parsed ? "" : Describe(parsed.error());
+  return parsed ? "" : FormatValidationErrors(parsed.error());
 }
 
 std::string
 BodyComplaint(const std::string& aJson)
 {
-  const auto parsed = ParseCallerBody(aJson, true);
-  return parsed ? "" : Describe({ parsed.error() });
+  const auto parsed = ParseModelRequestBody(aJson, true);
+  return parsed ? "" : FormatValidationErrors({ parsed.error() });
 }
 
 } // namespace
 
-TEST_CASE("a document's mistake is named with its path and what is allowed")
+TEST_CASE("a document error names its path and allowed values")
 {
   CHECK(ComplaintsOf(DocumentWith("300", "300")).empty());
   CHECK(ComplaintsOf(
@@ -75,7 +75,7 @@
         "service\n");
 }
 
-TEST_CASE("an unknown field of a document is refused by name")
+TEST_CASE("an unknown document field is rejected by name")
 {
   const std::string text =
     ComplaintsOf(DocumentWith("\"deadline_s\"", "\"deadline\""));
@@ -84,13 +84,13 @@
         std::string::npos);
 }
 
-TEST_CASE("a document that is no JSON, or empty, is refused")
+TEST_CASE("a malformed or empty document is rejected")
 {
   CHECK_FALSE(ComplaintsOf("{").empty());
   CHECK(ComplaintsOf("{}") == "services: given none, allowed at least one\n");
 }
 
-TEST_CASE("a setting's mistake is named with its path and what is allowed")
+TEST_CASE("a settings error names its path and allowed values")
 {
   CHECK(SettingsComplaints(SettingsWith("8000", "8000")).empty());
   CHECK(SettingsComplaints(SettingsWith("8000", "80000")) ==
@@ -110,7 +110,7 @@
         "of 40 letters, or none\n");
 }
 
-TEST_CASE("a caller's mistake is named with its field and what is allowed")
+TEST_CASE("a request error names its field and allowed values")
 {
   CHECK(BodyComplaint("{") == "body: given 1 bytes, allowed a JSON object\n");
   CHECK(BodyComplaint("{}") == "model: given nothing, allowed a string\n");
@@ -126,16 +126,16 @@
         "stream: given \"yes\", allowed true or false\n");
 }
 
-TEST_CASE("an event id that is none of ours is not resumed from")
+TEST_CASE("a foreign event id cannot be resumed from")
 {
   CHECK_FALSE(ParseEventId(""));
   CHECK_FALSE(ParseEventId("abc"));
   CHECK_FALSE(ParseEventId("r-1:x:2"));
-  const auto point = ParseEventId(EventIdOf(ResumePoint{ "r-1", 7, 99 }));
+  const auto point = ParseEventId(FormatEventId(ResumePoint{ "r-1", 7, 99 }));
   REQUIRE(point);
   CHECK(point->request == "r-1");
-  CHECK(point->count == 7);
-  CHECK(point->hash == 99);
+  CHECK(point->tokenCount == 7);
+  CHECK(point->tokenHash == 99);
 }
 
 } // namespace toucanshed::test
--- a/test/error/HttpErrors.cpp
+++ b/test/error/HttpErrors.cpp
@@ -17,9 +17,9 @@
 TightLimits()
 {
   HttpLimits limits;
-  limits.headBytes = 512;
-  limits.bodyBytes = 64;
-  limits.arrival = std::chrono::milliseconds(200);
+  limits.maxHeaderBytes = 512;
+  limits.maxBodyBytes = 64;
+  limits.requestTimeout = std::chrono::milliseconds(200);
   return limits;
 }
 
@@ -42,14 +42,14 @@
 }
 
 std::string
-AnswerTo(const std::string& aSent, std::uint16_t aPort)
+ResponseTo(const std::string& aSent, std::uint16_t aPort)
 {
   WorkerPool pool(1);
   HttpServer server(
     pool,
     TightLimits(),
     [](Worker&, const HttpRequest&, HttpResponder& aResponder) -> Task<void> {
-      HttpReply reply = MakeReply(200, "fine");
+      HttpResponse reply = MakeResponse(200, "fine");
       co_await aResponder.Send(std::move(reply));
     });
   const Endpoint endpoint(net::ip::make_address("127.77.0.2"), aPort);
@@ -60,7 +60,7 @@
 }
 
 bool
-Says(const std::string& aAnswer, const std::string& aStatus)
+HasStatusAndNotRun(const std::string& aAnswer, const std::string& aStatus)
 {
   const bool notRun =
     aAnswer.find("Toucanshed-Outcome: not-run") != std::string::npos;
@@ -72,32 +72,33 @@
 TEST_CASE("an over-long head gets 431")
 {
   const std::string head = "GET / HTTP/1.1\r\nX: " + std::string(1000, 'x');
-  CHECK(Says(AnswerTo(head + "\r\n\r\n", 21101), "431"));
+  CHECK(HasStatusAndNotRun(ResponseTo(head + "\r\n\r\n", 21101), "431"));
 }
 
 TEST_CASE("an over-long body gets 413 before it is read")
 {
-  CHECK(
-    Says(AnswerTo("POST / HTTP/1.1\r\nContent-Length: 100000\r\n\r\n", 21102),
-         "413"));
+  CHECK(HasStatusAndNotRun(
+    ResponseTo("POST / HTTP/1.1\r\nContent-Length: 100000\r\n\r\n", 21102),
+    "413"));
 }
 
-TEST_CASE("what is not HTTP gets 400")
+TEST_CASE("input that is not HTTP gets 400")
 {
-  CHECK(Says(AnswerTo("\x16\x03\x01 hello\r\n\r\n", 21103), "400"));
+  CHECK(
+    HasStatusAndNotRun(ResponseTo("\x16\x03\x01 hello\r\n\r\n", 21103), "400"));
 }
 
-TEST_CASE("half a request gets 408 when the rest does not come")
+TEST_CASE("an incomplete request gets 408 after the time limit")
 {
-  CHECK(
-    Says(AnswerTo("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", 21104),
-         "408"));
+  CHECK(HasStatusAndNotRun(
+    ResponseTo("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", 21104),
+    "408"));
 }
 
-TEST_CASE("a good request on the same kind of server is served")
+TEST_CASE("a valid request within the limits gets 200")
 {
   const std::string answer =
-    AnswerTo("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", 21105);
+    ResponseTo("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", 21105);
   CHECK(answer.starts_with("HTTP/1.1 200"));
 }
 
--- a/test/failure/EngineStreamTest.cpp
+++ b/test/failure/EngineStreamTest.cpp
@@ -1,6 +1,6 @@
 #include "test/OnWorker.h"
 
-#include "edge/EngineAccess.h"
+#include "edge/EngineClient.h"
 #include "edge/HttpServer.h"
 
 #include <catch2/catch.hpp>
@@ -11,23 +11,23 @@
 const Endpoint kEngine(boost::asio::ip::make_address("127.77.0.1"), 21077);
 
 Task<void>
-AskAndGenerate(WorkerPool& aPool, EngineFault& aFault)
+FetchThenGenerate(WorkerPool& aPool, EngineErrorKind& aFault)
 {
   EngineReport known;
   known.address = ToText(kEngine);
   HttpRequest request = MakeRequest(http::verb::get, "/load");
   co_await Fetch(aPool.First(), kEngine, std::move(request), CallTimeouts{});
-  EngineCall call;
+  GenerationRequest call;
   call.attempt = AttemptId{ "a1" };
   call.maxTokens = 1;
   const auto stream = co_await OpenEngineStream(
     aPool.First(), known.address, std::move(call), CallTimeouts{});
-  aFault = stream ? EngineFault::eGarbled : stream.error().fault;
+  aFault = stream ? EngineErrorKind::eMalformedEvent : stream.error().kind;
 }
 
 } // namespace
 
-TEST_CASE("an engine that dies of a request on a reused connection is cut")
+TEST_CASE("a crash on a reused connection is not retried")
 {
   // The caller's request goes to an engine over a connection that carried
   // another call before, and kills it: the connection closes, and nobody
@@ -43,15 +43,15 @@
         const HttpRequest& aRequest,
         HttpResponder& aResponder) -> Task<void> {
       if (aRequest.target() == "/load") {
-        co_await aResponder.Send(MakeReply(200, "{}"));
+        co_await aResponder.Send(MakeResponse(200, "{}"));
       } else {
         server->Close();
       }
     });
   REQUIRE(server->Listen(kEngine));
-  EngineFault fault = EngineFault::eGarbled;
-  RunOn(pool, AskAndGenerate(pool, fault));
-  CHECK(fault == EngineFault::eCut);
+  EngineErrorKind fault = EngineErrorKind::eMalformedEvent;
+  RunOn(pool, FetchThenGenerate(pool, fault));
+  CHECK(fault == EngineErrorKind::eDisconnected);
 }
 
 } // namespace toucanshed::test
--- a/test/failure/ModelCallTest.cpp
+++ b/test/failure/ModelCallTest.cpp
@@ -1,4 +1,4 @@
-#include "test/SmallWorld.h"
+#include "test/DaemonHarness.h"
 
 #include "daemon/ModelCall.h"
 #include "standin/Tokens.h"
@@ -11,9 +11,9 @@
 constexpr std::uint64_t kTokens = 30;
 const std::string kPrompt = "where is duct 17 blocked";
 
-struct Outcome
+struct ObservedCall
 {
-  CallEnd end;
+  RequestResult end;
   std::string text;
   std::uint64_t delivered = 0;
 };
@@ -21,7 +21,7 @@
 ModelRequest
 RequestNow(DaemonState& aState)
 {
-  return ModelRequestNow(aState, kPrompt, kTokens);
+  return MakeModelRequest(aState, kPrompt, kTokens);
 }
 
 Task<bool>
@@ -32,119 +32,119 @@
 }
 
 Task<void>
-CallOnce(SmallWorld& aWorld, Outcome& aOutcome)
+RunCall(DaemonHarness& aWorld, ObservedCall& aOutcome)
 {
   ModelCall call(
     aWorld.state,
-    aWorld.TheWorker(),
+    aWorld.FirstWorker(),
     RequestNow(aWorld.state),
     [&aOutcome](const std::string&) { return CountToken(aOutcome.delivered); });
   aOutcome.end = co_await call.Run();
-  aOutcome.text = call.Answer().Text();
+  aOutcome.text = call.Response().Text();
 }
 
 Task<void>
-CallWithFault(SmallWorld& aWorld,
+CallWithFault(DaemonHarness& aWorld,
               std::string aFault,
               std::int64_t aValue,
-              Outcome& aOutcome)
+              ObservedCall& aOutcome)
 {
   co_await aWorld.SetFault(0, aFault, aValue);
-  co_await CallOnce(aWorld, aOutcome);
+  co_await RunCall(aWorld, aOutcome);
 }
 
 void
-CheckWhole(const Outcome& aOutcome, std::uint64_t aTokens = kTokens)
+CheckComplete(const ObservedCall& aOutcome, std::uint64_t aTokens = kTokens)
 {
-  CHECK(aOutcome.end.outcome == CallOutcome::eCompleted);
-  CHECK(aOutcome.text == standin::WholeAnswer(kPrompt, aTokens));
+  CHECK(aOutcome.end.outcome == RequestOutcome::eCompleted);
+  CHECK(aOutcome.text == standin::FullResponse(kPrompt, aTokens));
   CHECK(aOutcome.delivered == aTokens);
 }
 
 } // namespace
 
-TEST_CASE("crossed and doubled events never reach the caller")
+TEST_CASE("misdirected and duplicate events are dropped")
 {
   // Half of the lines come with another attempt's event before them, or
   // twice. The caller sees each of its tokens once, in order.
-  SmallWorld world(21200);
+  DaemonHarness world(21200);
   world.AddEngine("engine-1");
-  Outcome outcome;
-  world.Run([](SmallWorld& aWorld, Outcome& aOutcome) -> Task<void> {
+  ObservedCall outcome;
+  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
     co_await aWorld.SetFault(0, "crossed_percent", 50);
     co_await CallWithFault(aWorld, "doubled_percent", 50, aOutcome);
   }(world, outcome));
-  CheckWhole(outcome);
+  CheckComplete(outcome);
 }
 
-TEST_CASE("a stream cut in the middle goes on from the tokens that are there")
+TEST_CASE("a broken stream resumes after its received tokens")
 {
   // The engine cuts the stream again and again while it lives on; the caller
   // sees one whole answer.
-  SmallWorld world(21210);
+  DaemonHarness world(21210);
   world.AddEngine("engine-1");
   world.AddEngine("engine-2");
-  Outcome outcome;
+  ObservedCall outcome;
   world.Run(CallWithFault(world, "cut_percent", 10, outcome));
-  CheckWhole(outcome);
+  CheckComplete(outcome);
 }
 
-TEST_CASE("an engine that is leaving is passed over before anything runs")
+TEST_CASE("a request rejected by a leaving engine is rerouted")
 {
   // It refuses with "not run"; the request goes to another engine.
-  SmallWorld world(21220);
+  DaemonHarness world(21220);
   world.AddEngine("engine-1", "leaving");
   world.AddEngine("engine-2");
-  Outcome outcome;
-  world.Run(CallOnce(world, outcome));
-  CheckWhole(outcome);
+  ObservedCall outcome;
+  world.Run(RunCall(world, outcome));
+  CheckComplete(outcome);
 }
 
-TEST_CASE("with no engine the refusal is at once, and truly not run")
+TEST_CASE("without an engine a request is rejected as not run")
 {
-  SmallWorld world(21230);
-  Outcome outcome;
-  world.Run([](SmallWorld& aWorld, Outcome& aOutcome) -> Task<void> {
+  DaemonHarness world(21230);
+  ObservedCall outcome;
+  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
     ModelRequest request = RequestNow(aWorld.state);
     request.deadline = request.arrived + Millis(50);
     ModelCall call(aWorld.state,
-                   aWorld.TheWorker(),
+                   aWorld.FirstWorker(),
                    request,
                    [&aOutcome](const std::string&) {
                      return CountToken(aOutcome.delivered);
                    });
     aOutcome.end = co_await call.Run();
   }(world, outcome));
-  CHECK(outcome.end.outcome == CallOutcome::eNotRun);
+  CHECK(outcome.end.outcome == RequestOutcome::eNotRun);
   CHECK(outcome.end.retryAfterSeconds > 0);
 }
 
-TEST_CASE("engines that answer with errors end in a final answer")
+TEST_CASE("a request fails once its attempts are used up")
 {
   // Every try fails after bytes were sent, so the answer says "may have run",
   // and it comes as soon as the tries are spent.
-  SmallWorld world(21240);
+  DaemonHarness world(21240);
   world.AddEngine("engine-1");
-  Outcome outcome;
+  ObservedCall outcome;
   world.Run(CallWithFault(world, "fail_percent", 100, outcome));
-  CHECK(outcome.end.outcome == CallOutcome::eMayHaveRun);
+  CHECK(outcome.end.outcome == RequestOutcome::eMayHaveRun);
   CHECK(outcome.end.reason == "no back end could complete it");
   CHECK(outcome.delivered == 0);
 }
 
-TEST_CASE("a request given up for its crashes is answered at once")
+TEST_CASE("a request that crashed three engines is not run again")
 {
   // Three engines have crashed of it, as peers have said. A resend at this
   // daemon runs nowhere, and is told when to come back.
-  SmallWorld world(21250);
+  DaemonHarness world(21250);
   world.AddEngine("engine-1");
   for (const char* life : { "a/1", "b/1", "c/1" }) {
-    world.state.State(
+    world.state.PublishFact(
       SuspectTable::CrashFact(Fingerprint{ 7 }, life, world.state.Now()));
   }
-  Outcome outcome;
-  world.Run(CallOnce(world, outcome));
-  CHECK(outcome.end.outcome == CallOutcome::eNotRun);
+  ObservedCall outcome;
+  world.Run(RunCall(world, outcome));
+  CHECK(outcome.end.outcome == RequestOutcome::eNotRun);
   CHECK(outcome.end.retryAfterSeconds == 600);
   CHECK(outcome.delivered == 0);
 }
@@ -153,46 +153,46 @@
 
 /** Reclaims whichever engine runs something, as its notice would. */
 void
-ReclaimTheBusyEngine(DaemonState& aState)
+ReclaimBusyEngine(DaemonState& aState)
 {
   const TimePoint now = aState.Now();
-  aState.router.With([&](Router& aRouter) {
-    for (const std::string& life :
-         aRouter.UsableLives(ServiceId{ "survey" }, VersionId{ "v1" }, now)) {
-      if (aRouter.FindLife(life)->inFlight > 0) {
+  aState.router.WithLock([&](Router& aRouter) {
+    for (const std::string& life : aRouter.AvailableIncarnations(
+           ServiceId{ "survey" }, VersionId{ "v1" }, now)) {
+      if (aRouter.FindIncarnation(life)->inFlight > 0) {
         aRouter.MarkLeaving(life);
       }
     }
   });
-  ++aState.leavings;
+  ++aState.leavingChanges;
 }
 
 /** Long enough that the engine still generates when the state is asked for. */
 constexpr std::uint64_t kLongAnswer = 600;
 
 Task<void>
-CallThroughReclaim(SmallWorld& aWorld, Outcome& aOutcome)
+CallThroughReclaim(DaemonHarness& aWorld, ObservedCall& aOutcome)
 {
   ModelRequest request = RequestNow(aWorld.state);
   request.maxTokens = kLongAnswer;
   ModelCall call(aWorld.state,
-                 aWorld.TheWorker(),
+                 aWorld.FirstWorker(),
                  request,
                  [&](const std::string&) -> Task<bool> {
                    ++aOutcome.delivered;
                    if (aOutcome.delivered == 5) {
-                     ReclaimTheBusyEngine(aWorld.state);
+                     ReclaimBusyEngine(aWorld.state);
                    }
                    co_return true;
                  });
   aOutcome.end = co_await call.Run();
-  aOutcome.text = call.Answer().Text();
+  aOutcome.text = call.Response().Text();
 }
 
 bool
-EventsSay(DaemonState& aState, const std::string& aText)
+HasEvent(DaemonState& aState, const std::string& aText)
 {
-  const auto page = aState.events.Since(0);
+  const auto page = aState.events.LinesAfter(0);
   return std::any_of(
     page.lines.begin(), page.lines.end(), [&](const std::string& aLine) {
       return aLine.find(aText) != std::string::npos;
@@ -201,42 +201,42 @@
 
 } // namespace
 
-TEST_CASE("a stream leaves an engine that is reclaimed and takes its state")
+TEST_CASE("a stream migrates with its state on a reclaim")
 {
   // The notice comes in the middle of the answer. While the engine still
   // runs, the state goes to another, which computes nothing again.
-  SmallWorld world(21270);
+  DaemonHarness world(21270);
   world.AddEngine("engine-1");
   world.AddEngine("engine-2");
-  Outcome outcome;
+  ObservedCall outcome;
   world.Run(CallThroughReclaim(world, outcome));
-  CheckWhole(outcome, kLongAnswer);
-  CHECK(EventsSay(world.state, "event=stream.moved"));
-  CHECK(EventsSay(world.state, "state=imported"));
+  CheckComplete(outcome, kLongAnswer);
+  CHECK(HasEvent(world.state, "event=stream.moved"));
+  CHECK(HasEvent(world.state, "state=imported"));
 }
 
-TEST_CASE("a stream whose state is not taken in is computed again, whole")
+TEST_CASE("a stream is recomputed if its state is not imported")
 {
-  SmallWorld world(21280);
+  DaemonHarness world(21280);
   world.AddEngine("engine-1", "refuse_import");
   world.AddEngine("engine-2", "refuse_import");
-  Outcome outcome;
+  ObservedCall outcome;
   world.Run(CallThroughReclaim(world, outcome));
-  CheckWhole(outcome, kLongAnswer);
-  CHECK(EventsSay(world.state, "state=recomputed"));
+  CheckComplete(outcome, kLongAnswer);
+  CHECK(HasEvent(world.state, "state=recomputed"));
 }
 
-TEST_CASE("a silent connection is told from a dead engine and resumed")
+TEST_CASE("a stalled connection is not taken for a crash")
 {
   // The stream goes silent for good while the engine answers on a new
   // connection: nobody is implicated in a crash, and the answer completes.
-  SmallWorld world(21260);
+  DaemonHarness world(21260);
   world.AddEngine("engine-1");
   world.AddEngine("engine-2");
-  Outcome outcome;
-  world.Run([](SmallWorld& aWorld, Outcome& aOutcome) -> Task<void> {
+  ObservedCall outcome;
+  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
     ModelCall call(aWorld.state,
-                   aWorld.TheWorker(),
+                   aWorld.FirstWorker(),
                    RequestNow(aWorld.state),
                    [&aWorld, &aOutcome](const std::string&) -> Task<bool> {
                      ++aOutcome.delivered;
@@ -247,10 +247,10 @@
                      co_return true;
                    });
     aOutcome.end = co_await call.Run();
-    aOutcome.text = call.Answer().Text();
+    aOutcome.text = call.Response().Text();
   }(world, outcome));
-  CheckWhole(outcome);
-  world.state.caution.With([](Caution& aCaution) {
+  CheckComplete(outcome);
+  world.state.factTables.WithLock([](FactTables& aCaution) {
     CHECK(aCaution.facts.WithPrefix("crash/").empty());
   });
 }
--- a/test/failure/PeerKeysTest.cpp
+++ b/test/failure/PeerKeysTest.cpp
@@ -21,7 +21,7 @@
 
 /** Waits for what other threads bring about; a bound, not a measurement. */
 bool
-Until(const std::function<bool()>& aHolds)
+WaitUntil(const std::function<bool()>& aHolds)
 {
   constexpr int kMostLooks = 1000;
   for (int i = 0; i < kMostLooks && !aHolds(); ++i) {
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("peers with the keys hear each other, one without is shut out")
+TEST_CASE("only peers with the shared key pair can send")
 {
   // An intruder knows the port and even its public key, but holds a key pair
   // of its own. It is refused at the handshake, and its message is never read;
@@ -57,14 +57,14 @@
   peer::Envelope lie;
   lie.mutable_from()->set_id("intruder");
   intruder.send(zmq::buffer(lie.SerializeAsString()), zmq::send_flags::none);
-  CHECK(Until([&] { return server.Traffic().refused > 0; }));
+  CHECK(WaitUntil([&] { return server.Traffic().rejectedHandshakes > 0; }));
 
   PeerSocket friendly("127.77.0.4:21602", keys, [](peer::Envelope) {});
   REQUIRE(friendly.Start());
   peer::Envelope hello;
   hello.mutable_from()->set_id("friend");
   friendly.Send(address, hello);
-  CHECK(Until([&] { return heard > 0; }));
+  CHECK(WaitUntil([&] { return heard > 0; }));
   CHECK(intruded == 0);
 }
 
--- a/test/fuzz/ClaimFuzz.cpp
+++ b/test/fuzz/ClaimFuzz.cpp
@@ -1,4 +1,4 @@
-#include "ClaimWorld.h"
+#include "ClaimSimulation.h"
 
 #include "base/Random.h"
 
@@ -19,8 +19,8 @@
     return gen::build<ClaimStep>(
       gen::set(&ClaimStep::kind, gen::inRange<std::uint8_t>(0, 12)),
       gen::set(&ClaimStep::daemon, gen::inRange<std::uint8_t>(0, 3)),
-      gen::set(&ClaimStep::pick, gen::inRange<std::uint8_t>(0, 8)),
-      gen::set(&ClaimStep::detail, gen::inRange<std::uint8_t>(0, 8)));
+      gen::set(&ClaimStep::index, gen::inRange<std::uint8_t>(0, 8)),
+      gen::set(&ClaimStep::variant, gen::inRange<std::uint8_t>(0, 8)));
   }
 };
 } // namespace rc
@@ -29,40 +29,42 @@
 namespace {
 
 std::uint8_t
-Draw(Random& aRandom, std::uint64_t aBelow)
+DrawByte(Random& aRandom, std::uint64_t aBelow)
 {
-  return static_cast<std::uint8_t>(aRandom.Below(aBelow));
+  return static_cast<std::uint8_t>(aRandom.NextBelow(aBelow));
 }
 
 /** Runs seeded histories; \return how many broke a promise. */
 std::size_t
-BrokenHistories(ClaimMutant aMutant, std::size_t aHistories)
+CountViolations(ClaimMutant aMutant, std::size_t aHistories)
 {
   constexpr std::size_t kSteps = 400;
   std::size_t broken = 0;
   for (std::size_t i = 0; i < aHistories; ++i) {
     Random random(i);
-    ClaimWorld world(aMutant);
-    for (std::size_t step = 0; step < kSteps && world.Broken().empty();
+    ClaimSimulation world(aMutant);
+    for (std::size_t step = 0; step < kSteps && world.Violation().empty();
          ++step) {
-      world.Take(ClaimStep{
-        Draw(random, 12), Draw(random, 3), Draw(random, 8), Draw(random, 8) });
+      world.RunStep(ClaimStep{ DrawByte(random, 12),
+                               DrawByte(random, 3),
+                               DrawByte(random, 8),
+                               DrawByte(random, 8) });
     }
-    broken += world.Broken().empty() ? 0 : 1;
+    broken += world.Violation().empty() ? 0 : 1;
   }
   return broken;
 }
 
 } // namespace
 
-TEST_CASE("a request that may not be repeated runs at most once")
+TEST_CASE("a non-repeatable request runs at most once")
 {
   std::uint64_t executions = 0;
   const bool holds = rc::check([&](const std::vector<ClaimStep>& aSteps) {
-    ClaimWorld world(ClaimMutant::eNone);
+    ClaimSimulation world(ClaimMutant::eNone);
     for (const ClaimStep& step : aSteps) {
-      world.Take(step);
-      RC_ASSERT(world.Broken() == "");
+      world.RunStep(step);
+      RC_ASSERT(world.Violation() == "");
     }
     executions += world.Executions();
   });
@@ -70,24 +72,24 @@
   CHECK(executions > 50);
 }
 
-TEST_CASE("long seeded histories run each key at most once")
+TEST_CASE("long random histories run each key at most once")
 {
-  CHECK(BrokenHistories(ClaimMutant::eNone, 2000) == 0);
+  CHECK(CountViolations(ClaimMutant::eNone, 2000) == 0);
 }
 
 TEST_CASE("dispatch before read-back is caught by the oracle")
 {
-  CHECK(BrokenHistories(ClaimMutant::eDispatchBeforeReadBack, 200) > 100);
+  CHECK(CountViolations(ClaimMutant::eDispatchBeforeReadBack, 200) > 100);
 }
 
 TEST_CASE("dispatch after abandon is caught by the oracle")
 {
-  CHECK(BrokenHistories(ClaimMutant::eDispatchAfterAbandon, 200) > 50);
+  CHECK(CountViolations(ClaimMutant::eDispatchAfterAbandon, 200) > 50);
 }
 
 TEST_CASE("a resend after an unclear end is caught by the oracle")
 {
-  CHECK(BrokenHistories(ClaimMutant::eResendAfterLoss, 200) > 20);
+  CHECK(CountViolations(ClaimMutant::eResendAfterUnclear, 200) > 20);
 }
 
 } // namespace toucanshed::test
--- a/test/fuzz/ClaimWorld.cpp
+++ b/test/fuzz/ClaimSimulation.cpp
@@ -1,4 +1,4 @@
-#include "ClaimWorld.h"
+#include "ClaimSimulation.h"
 
 namespace toucanshed::test {
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-ClaimWorld::ClaimWorld(ClaimMutant aMutant)
+ClaimSimulation::ClaimSimulation(ClaimMutant aMutant)
   : mutant(aMutant)
   , now{ kStart }
   , daemons(kDaemons)
@@ -19,115 +19,117 @@
   for (std::size_t i = 0; i < kKeys; ++i) {
     const std::string name =
       "crews/jobdesk/" + std::to_string(kStart / 1000) + "-";
-    this->keys.push_back(Key{ CallKey{ name + std::to_string(i) }, 0, {} });
+    this->keys.push_back(
+      Key{ IdempotencyKey{ name + std::to_string(i) }, 0, {} });
   }
   for (Daemon& daemon : this->daemons) {
-    this->Replace(daemon);
+    this->RestartDaemon(daemon);
   }
 }
 
 void
-ClaimWorld::Replace(Daemon& aDaemon)
+ClaimSimulation::RestartDaemon(Daemon& aDaemon)
 {
   // A new life: nothing is left of the old one but what the log holds. Its
   // attempts can still be counted, never acted on.
   const WriterId writer{ "daemon/" + std::to_string(++this->lastId) };
   aDaemon.claims = std::make_unique<ClaimCoordinator>(writer, kWindow);
-  aDaemon.read = 0;
+  aDaemon.batchesRead = 0;
   aDaemon.attempts.clear();
 }
 
 void
-ClaimWorld::Ask(Daemon& aDaemon, const ClaimStep& aStep)
+ClaimSimulation::TryClaim(Daemon& aDaemon, const ClaimStep& aStep)
 {
-  const std::size_t key = aStep.pick % kKeys;
+  const std::size_t key = aStep.index % kKeys;
   Attempt attempt;
   attempt.id = AttemptId{ "a" + std::to_string(++this->lastId) };
   attempt.key = key;
-  const ClaimAsk ask = aDaemon.claims->Ask(
+  const KeyStatus ask = aDaemon.claims->TryClaim(
     this->keys[key].id, Fingerprint{ 7 }, attempt.id, this->now);
-  if (ask == ClaimAsk::eClaiming) {
+  if (ask == KeyStatus::eClaiming) {
     aDaemon.attempts.push_back(attempt);
-  } else if (ask == ClaimAsk::eEnded) {
+  } else if (ask == KeyStatus::eOutcomeRecorded) {
     this->CheckReplay(aDaemon, this->keys[key]);
   }
 }
 
 void
-ClaimWorld::CheckReplay(const Daemon& aDaemon, const Key& aKey)
+ClaimSimulation::CheckReplay(const Daemon& aDaemon, const Key& aKey)
 {
   const ClaimEntry* entry = aDaemon.claims->Table().Find(aKey.id);
-  const ClaimAnswer& answer = *entry->answer;
-  if (!answer.unclear && answer.body != aKey.answer) {
-    this->broken = "a repeated key got an answer that is not the back end's";
+  const ClaimOutcome& answer = *entry->outcome;
+  if (!answer.unclear && answer.body != aKey.response) {
+    this->violation = "a repeated key got an answer that is not the back end's";
   }
 }
 
 void
-ClaimWorld::Send(Daemon& aDaemon, const ClaimStep& aStep)
+ClaimSimulation::SendBatch(Daemon& aDaemon, const ClaimStep& aStep)
 {
   const auto batch = aDaemon.claims->Queue().NextToSend();
   if (!batch) {
     return;
   }
-  switch (aStep.detail % 4) {
+  switch (aStep.variant % 4) {
     case 0: // answered
       this->log.push_back(*batch);
-      aDaemon.claims->Queue().Settled(batch->sequence());
+      aDaemon.claims->Queue().MarkCommitted(batch->sequence());
       return;
     case 1: // took effect, answer lost
       this->log.push_back(*batch);
       break;
     case 2: // takes effect later, or never
-      this->delayed.push_back(*batch);
+      this->delayedBatches.push_back(*batch);
       break;
     default: // the log is away
       break;
   }
-  aDaemon.claims->Queue().Unclear();
+  aDaemon.claims->Queue().AllowResend();
 }
 
 void
-ClaimWorld::Land(const ClaimStep& aStep)
+ClaimSimulation::LandDelayedBatch(const ClaimStep& aStep)
 {
-  if (this->delayed.empty()) {
+  if (this->delayedBatches.empty()) {
     return;
   }
-  const std::size_t index = aStep.pick % this->delayed.size();
-  this->log.push_back(this->delayed[index]);
-  this->delayed.erase(this->delayed.begin() +
-                      static_cast<std::ptrdiff_t>(index));
+  const std::size_t index = aStep.index % this->delayedBatches.size();
+  this->log.push_back(this->delayedBatches[index]);
+  this->delayedBatches.erase(this->delayedBatches.begin() +
+                             static_cast<std::ptrdiff_t>(index));
 }
 
 void
-ClaimWorld::Read(Daemon& aDaemon, const ClaimStep& aStep)
+ClaimSimulation::ReadLog(Daemon& aDaemon, const ClaimStep& aStep)
 {
   const std::size_t end =
-    std::min(this->log.size(), aDaemon.read + 1 + aStep.detail % 8);
-  for (; aDaemon.read < end; ++aDaemon.read) {
-    aDaemon.claims->Apply(aDaemon.read + 1, this->log[aDaemon.read]);
+    std::min(this->log.size(), aDaemon.batchesRead + 1 + aStep.variant % 8);
+  for (; aDaemon.batchesRead < end; ++aDaemon.batchesRead) {
+    aDaemon.claims->Apply(aDaemon.batchesRead + 1,
+                          this->log[aDaemon.batchesRead]);
   }
 }
 
 void
-ClaimWorld::Execute(Attempt& aAttempt)
+ClaimSimulation::Execute(Attempt& aAttempt)
 {
   Key& key = this->keys[aAttempt.key];
   aAttempt.sent = true;
   ++aAttempt.executions;
   ++key.executions;
   ++this->executions;
-  key.answer = "answer to " + aAttempt.id.value;
+  key.response = "answer to " + aAttempt.id.value;
   if (key.executions > 1) {
-    this->broken = "a request that may not be repeated ran twice";
+    this->violation = "a request that may not be repeated ran twice";
   }
-  if (aAttempt.saidNotRun) {
-    this->broken = "a request ran after \"not run\" was said of it";
+  if (aAttempt.reportedNotRun) {
+    this->violation = "a request ran after \"not run\" was said of it";
   }
 }
 
 void
-ClaimWorld::Dispatch(Daemon& aDaemon, Attempt& aAttempt)
+ClaimSimulation::Dispatch(Daemon& aDaemon, Attempt& aAttempt)
 {
   const auto phase = aDaemon.claims->PhaseOf(aAttempt.id);
   const bool early = this->mutant == ClaimMutant::eDispatchBeforeReadBack &&
@@ -140,57 +142,59 @@
 }
 
 void
-ClaimWorld::End(Daemon& aDaemon, Attempt& aAttempt, const ClaimStep& aStep)
+ClaimSimulation::EndAttempt(Daemon& aDaemon,
+                            Attempt& aAttempt,
+                            const ClaimStep& aStep)
 {
   if (aDaemon.claims->PhaseOf(aAttempt.id) != ClaimPhase::eRunning) {
     return;
   }
-  if (aStep.detail % 2 == 0) {
-    ClaimAnswer answer;
+  if (aStep.variant % 2 == 0) {
+    ClaimOutcome answer;
     answer.status = 200;
     answer.body = "answer to " + aAttempt.id.value;
-    aDaemon.claims->Answered(aAttempt.id, answer);
+    aDaemon.claims->Complete(aAttempt.id, answer);
     return;
   }
-  aDaemon.claims->Lost(aAttempt.id);
-  if (this->mutant == ClaimMutant::eResendAfterLoss) {
+  aDaemon.claims->MarkUnclear(aAttempt.id);
+  if (this->mutant == ClaimMutant::eResendAfterUnclear) {
     this->Execute(aAttempt);
   }
 }
 
 void
-ClaimWorld::GiveUp(Daemon& aDaemon, Attempt& aAttempt)
+ClaimSimulation::AbandonAttempt(Daemon& aDaemon, Attempt& aAttempt)
 {
   if (aDaemon.claims->Abandon(aAttempt.id)) {
-    aAttempt.saidNotRun = true;
+    aAttempt.reportedNotRun = true;
     if (aAttempt.executions > 0) {
-      this->broken = "\"not run\" was said of a request that had run";
+      this->violation = "\"not run\" was said of a request that had run";
     }
   }
 }
 
 void
-ClaimWorld::Take(const ClaimStep& aStep)
+ClaimSimulation::RunStep(const ClaimStep& aStep)
 {
   Daemon& daemon = this->daemons[aStep.daemon % kDaemons];
   Attempt* attempt = daemon.attempts.empty()
                        ? nullptr
-                       : &daemon.attempts[aStep.pick % daemon.attempts.size()];
+                       : &daemon.attempts[aStep.index % daemon.attempts.size()];
   switch (aStep.kind % 12) {
     case 0:
     case 1:
-      this->Ask(daemon, aStep);
+      this->TryClaim(daemon, aStep);
       break;
     case 2:
     case 3:
-      this->Send(daemon, aStep);
+      this->SendBatch(daemon, aStep);
       break;
     case 4:
     case 5:
-      this->Read(daemon, aStep);
+      this->ReadLog(daemon, aStep);
       break;
     case 6:
-      this->Land(aStep);
+      this->LandDelayedBatch(aStep);
       break;
     case 7:
     case 8:
@@ -200,20 +204,20 @@
       break;
     case 9:
       if (attempt != nullptr) {
-        this->End(daemon, *attempt, aStep);
+        this->EndAttempt(daemon, *attempt, aStep);
       }
       break;
     case 10:
       if (attempt != nullptr) {
-        this->GiveUp(daemon, *attempt);
+        this->AbandonAttempt(daemon, *attempt);
       }
       break;
     default:
       // Mostly time passes; now and then a daemon is replaced.
-      if (aStep.detail % 4 == 0) {
-        this->Replace(daemon);
+      if (aStep.variant % 4 == 0) {
+        this->RestartDaemon(daemon);
       } else {
-        this->now = this->now + Millis(aStep.detail * 40);
+        this->now = this->now + Millis(aStep.variant * 40);
       }
       break;
   }
--- a/test/fuzz/ClaimWorld.h
+++ b/test/fuzz/ClaimSimulation.h
@@ -18,8 +18,8 @@
 {
   std::uint8_t kind = 0;
   std::uint8_t daemon = 0;
-  std::uint8_t pick = 0;
-  std::uint8_t detail = 0;
+  std::uint8_t index = 0;
+  std::uint8_t variant = 0;
 };
 
 /** A deliberate mistake, to show that the oracle sees it. */
@@ -28,17 +28,17 @@
   eNone,
   eDispatchBeforeReadBack,
   eDispatchAfterAbandon,
-  eResendAfterLoss,
+  eResendAfterUnclear,
 };
 
-class ClaimWorld
+class ClaimSimulation
 {
 public:
-  explicit ClaimWorld(ClaimMutant aMutant);
+  explicit ClaimSimulation(ClaimMutant aMutant);
 
-  void Take(const ClaimStep& aStep);
+  void RunStep(const ClaimStep& aStep);
   /** Empty while every promise holds. */
-  [[nodiscard]] const std::string& Broken() const { return this->broken; }
+  [[nodiscard]] const std::string& Violation() const { return this->violation; }
   /** Executions that took place, so that a test can tell a run that did
    * something from one that did not. */
   [[nodiscard]] std::uint64_t Executions() const { return this->executions; }
@@ -50,42 +50,42 @@
     std::size_t key = 0;
     bool sent = false;
     bool ended = false;
-    bool saidNotRun = false;
+    bool reportedNotRun = false;
     std::uint64_t executions = 0;
   };
   struct Daemon
   {
     std::unique_ptr<ClaimCoordinator> claims;
-    std::size_t read = 0;
+    std::size_t batchesRead = 0;
     std::vector<Attempt> attempts;
   };
   struct Key
   {
-    CallKey id;
+    IdempotencyKey id;
     std::uint64_t executions = 0;
-    std::string answer;
+    std::string response;
   };
 
-  void Replace(Daemon& aDaemon);
-  void Ask(Daemon& aDaemon, const ClaimStep& aStep);
-  void Send(Daemon& aDaemon, const ClaimStep& aStep);
-  void Land(const ClaimStep& aStep);
-  void Read(Daemon& aDaemon, const ClaimStep& aStep);
+  void RestartDaemon(Daemon& aDaemon);
+  void TryClaim(Daemon& aDaemon, const ClaimStep& aStep);
+  void SendBatch(Daemon& aDaemon, const ClaimStep& aStep);
+  void LandDelayedBatch(const ClaimStep& aStep);
+  void ReadLog(Daemon& aDaemon, const ClaimStep& aStep);
   void Dispatch(Daemon& aDaemon, Attempt& aAttempt);
-  void End(Daemon& aDaemon, Attempt& aAttempt, const ClaimStep& aStep);
-  void GiveUp(Daemon& aDaemon, Attempt& aAttempt);
+  void EndAttempt(Daemon& aDaemon, Attempt& aAttempt, const ClaimStep& aStep);
+  void AbandonAttempt(Daemon& aDaemon, Attempt& aAttempt);
   void Execute(Attempt& aAttempt);
   void CheckReplay(const Daemon& aDaemon, const Key& aKey);
 
   ClaimMutant mutant;
   TimePoint now;
   std::vector<records::Batch> log;
-  std::vector<records::Batch> delayed;
+  std::vector<records::Batch> delayedBatches;
   std::vector<Daemon> daemons;
   std::vector<Key> keys;
   std::uint64_t lastId = 0;
   std::uint64_t executions = 0;
-  std::string broken;
+  std::string violation;
 };
 
 } // namespace toucanshed::test
--- a/test/fuzz/ControlFuzz.cpp
+++ b/test/fuzz/ControlFuzz.cpp
@@ -20,14 +20,14 @@
   std::uint8_t kind = 0;
   std::uint8_t daemon = 0;
   std::uint8_t service = 0;
-  std::uint8_t detail = 0;
+  std::uint8_t variant = 0;
 };
 
 [[maybe_unused]] std::ostream&
 operator<<(std::ostream& aStream, const ControlStep& aStep)
 {
   return aStream << "{" << int(aStep.kind) << "," << int(aStep.daemon) << ","
-                 << int(aStep.service) << "," << int(aStep.detail) << "}";
+                 << int(aStep.service) << "," << int(aStep.variant) << "}";
 }
 
 config::ServiceDocument
@@ -57,12 +57,13 @@
 /** The simplest thing that can be right: one list, in order. */
 struct Oracle
 {
-  std::map<std::string, std::pair<std::uint64_t, std::string>> inForce;
-  std::set<std::pair<std::string, std::uint64_t>> seen;
+  std::map<std::string, std::pair<std::uint64_t, std::string>> activeDocuments;
+  std::set<std::pair<std::string, std::uint64_t>> seenBatches;
 
   void Append(std::uint64_t aOffset, const records::Batch& aBatch)
   {
-    if (!this->seen.insert({ aBatch.writer(), aBatch.sequence() }).second) {
+    if (!this->seenBatches.insert({ aBatch.writer(), aBatch.sequence() })
+           .second) {
       return;
     }
     for (int i = 0; i < aBatch.records_size(); ++i) {
@@ -70,7 +71,7 @@
         continue;
       }
       const auto& change = aBatch.records(i).config();
-      auto& entry = this->inForce[change.document().service()];
+      auto& entry = this->activeDocuments[change.document().service()];
       if (entry.first == change.base_revision()) {
         entry.first = PositionOf(aOffset, static_cast<std::size_t>(i)).value;
         entry.second = change.document().SerializeAsString();
@@ -79,41 +80,41 @@
   }
 };
 
-class ControlWorld
+class ControlSimulation
 {
 public:
-  ControlWorld()
+  ControlSimulation()
     : daemons(kDaemons)
   {
     for (std::size_t i = 0; i < kDaemons; ++i) {
-      this->Replace(i);
+      this->ResetDaemon(i);
     }
   }
 
-  void Take(const ControlStep& aStep)
+  void RunStep(const ControlStep& aStep)
   {
     const std::size_t daemon = aStep.daemon % kDaemons;
     switch (aStep.kind % 9) {
       case 0:
       case 1:
-        this->Propose(daemon, aStep);
+        this->ProposeChange(daemon, aStep);
         break;
       case 2:
-        this->ProposeMoveRecord(daemon, aStep);
+        this->ProposeRolloutRecord(daemon, aStep);
         break;
       case 3:
       case 4:
-        this->Send(daemon, aStep.detail % 4);
+        this->SendBatch(daemon, aStep.variant % 4);
         break;
       case 5:
       case 6:
-        this->Read(daemon, 1 + aStep.detail % 8U);
+        this->ReadLog(daemon, 1 + aStep.variant % 8U);
         break;
       case 7:
-        this->DropBehindSnapshot(daemon, aStep.detail);
+        this->CompactLog(daemon, aStep.variant);
         break;
       default:
-        this->Restart(daemon, aStep);
+        this->RestartDaemon(daemon, aStep);
         break;
     }
   }
@@ -122,11 +123,11 @@
   void CheckConverged()
   {
     for (std::size_t i = 0; i < kDaemons; ++i) {
-      this->Read(i, this->log.size());
-      RC_ASSERT(this->daemons[i].reader->Whole());
+      this->ReadLog(i, this->log.size());
+      RC_ASSERT(this->daemons[i].reader->IsComplete());
       const auto& services = this->daemons[i].reader->Table().Services();
       std::size_t accepted = 0;
-      for (const auto& [name, entry] : this->oracle.inForce) {
+      for (const auto& [name, entry] : this->oracle.activeDocuments) {
         if (entry.first == 0) {
           continue;
         }
@@ -137,7 +138,7 @@
         RC_ASSERT(found->second.document.SerializeAsString() == entry.second);
       }
       RC_ASSERT(services.size() == accepted);
-      RC_ASSERT(this->MovesOf(i) == this->MovesOf(0));
+      RC_ASSERT(this->DescribeRollouts(i) == this->DescribeRollouts(0));
     }
   }
 
@@ -145,73 +146,74 @@
   struct Daemon
   {
     std::unique_ptr<ControlReader> reader;
-    std::size_t read = 0; // offsets up to this one
-    std::map<std::string, std::uint64_t> newest;
+    std::size_t batchesRead = 0; // offsets up to this one
+    std::map<std::string, std::uint64_t> latestRevisions;
   };
 
-  std::string MovesOf(std::size_t aDaemon)
+  std::string DescribeRollouts(std::size_t aDaemon)
   {
     std::string text;
     for (const auto& [position, move] :
-         this->daemons[aDaemon].reader->Table().Moves()) {
+         this->daemons[aDaemon].reader->Table().RolloutsByRevision()) {
       text += std::to_string(position.value) + ":" + std::to_string(move.step) +
               ToText(move.status) + move.reason + " ";
     }
     return text;
   }
 
-  void Replace(std::size_t aDaemon)
+  void ResetDaemon(std::size_t aDaemon)
   {
     Daemon& daemon = this->daemons[aDaemon];
     daemon.reader = std::make_unique<ControlReader>(
-      WriterId{ "d/" + std::to_string(++this->lastLife) });
-    daemon.reader->BeginAt(this->earliest);
-    daemon.read = this->earliest - 1;
-    daemon.newest.clear();
+      WriterId{ "d/" + std::to_string(++this->lastIncarnation) });
+    daemon.reader->SetEarliestOffset(this->earliest);
+    daemon.batchesRead = this->earliest - 1;
+    daemon.latestRevisions.clear();
   }
 
-  void Restart(std::size_t aDaemon, const ControlStep& aStep)
+  void RestartDaemon(std::size_t aDaemon, const ControlStep& aStep)
   {
     // The peer's state may be old; what it does not cover is then read.
     const Daemon& peer = this->daemons[aStep.service % kDaemons];
-    const bool usable = peer.reader->Whole();
+    const bool usable = peer.reader->IsComplete();
     const auto old = peer.reader->Snapshot();
-    this->Replace(aDaemon);
-    if (usable && aStep.detail % 2 == 0) {
-      this->daemons[aDaemon].reader->TakeSnapshot(old);
-      this->daemons[aDaemon].reader->BeginAt(this->earliest);
+    this->ResetDaemon(aDaemon);
+    if (usable && aStep.variant % 2 == 0) {
+      this->daemons[aDaemon].reader->LoadSnapshot(old);
+      this->daemons[aDaemon].reader->SetEarliestOffset(this->earliest);
     }
-    this->CheckGrowth(aDaemon);
+    this->CheckRevisionsGrow(aDaemon);
   }
 
-  void Propose(std::size_t aDaemon, const ControlStep& aStep)
+  void ProposeChange(std::size_t aDaemon, const ControlStep& aStep)
   {
     records::Record record;
     records::ConfigChange* change = record.mutable_config();
     const std::size_t service = aStep.service % kServices;
     *change->mutable_document() =
-      DocumentOf(service, ++this->mark, aStep.detail % 3 == 0);
+      DocumentOf(service, ++this->lastChangeNumber, aStep.variant % 3 == 0);
     const ControlTable& table = this->daemons[aDaemon].reader->Table();
     const ServiceEntry* known =
       table.Find(ServiceId{ change->document().service() });
     change->set_base_revision(known == nullptr ? 0 : known->revision.value);
-    change->set_change_id(std::to_string(this->mark));
+    change->set_change_id(std::to_string(this->lastChangeNumber));
     this->daemons[aDaemon].reader->Queue().Add(std::move(record));
   }
 
-  void ProposeMoveRecord(std::size_t aDaemon, const ControlStep& aStep)
+  void ProposeRolloutRecord(std::size_t aDaemon, const ControlStep& aStep)
   {
-    const auto& moves = this->daemons[aDaemon].reader->Table().Moves();
+    const auto& moves =
+      this->daemons[aDaemon].reader->Table().RolloutsByRevision();
     if (moves.empty()) {
       return;
     }
-    const MoveState& move = std::prev(moves.end())->second;
+    const RolloutState& move = std::prev(moves.end())->second;
     records::Record record;
-    if (aStep.detail % 3 != 0) {
-      record.mutable_move_step()->set_move(move.move.value);
+    if (aStep.variant % 3 != 0) {
+      record.mutable_move_step()->set_move(move.rollout.value);
       record.mutable_move_step()->set_step(move.step + 1);
     } else {
-      record.mutable_move_end()->set_move(move.move.value);
+      record.mutable_move_end()->set_move(move.rollout.value);
       record.mutable_move_end()->set_taken_back(aStep.service % 2 == 0);
       record.mutable_move_end()->set_reason("d" + std::to_string(aDaemon));
     }
@@ -224,7 +226,7 @@
     this->oracle.Append(this->log.size(), aBatch);
   }
 
-  void Send(std::size_t aDaemon, unsigned aFate)
+  void SendBatch(std::size_t aDaemon, unsigned aFate)
   {
     AppendQueue& queue = this->daemons[aDaemon].reader->Queue();
     const auto batch = queue.NextToSend();
@@ -232,47 +234,50 @@
       this->Append(*batch);
     }
     if (batch && aFate == 0) {
-      queue.Settled(batch->sequence());
+      queue.MarkCommitted(batch->sequence());
     }
-    queue.Unclear();
+    queue.AllowResend();
   }
 
-  void Read(std::size_t aDaemon, std::size_t aCount)
+  void ReadLog(std::size_t aDaemon, std::size_t aCount)
   {
     Daemon& daemon = this->daemons[aDaemon];
-    if (daemon.read + 1 < this->earliest) {
+    if (daemon.batchesRead + 1 < this->earliest) {
       // Too far behind: it starts anew, as a daemon does.
-      this->Replace(aDaemon);
+      this->ResetDaemon(aDaemon);
     }
-    for (std::size_t i = 0; i < aCount && daemon.read < this->log.size(); ++i) {
-      daemon.reader->Apply(daemon.read + 1, this->log[daemon.read]);
-      ++daemon.read;
-      this->CheckGrowth(aDaemon);
+    for (std::size_t i = 0; i < aCount && daemon.batchesRead < this->log.size();
+         ++i) {
+      daemon.reader->Apply(daemon.batchesRead + 1,
+                           this->log[daemon.batchesRead]);
+      ++daemon.batchesRead;
+      this->CheckRevisionsGrow(aDaemon);
     }
   }
 
-  void CheckGrowth(std::size_t aDaemon)
+  void CheckRevisionsGrow(std::size_t aDaemon)
   {
     Daemon& daemon = this->daemons[aDaemon];
     for (const auto& [service, entry] : daemon.reader->Table().Services()) {
-      std::uint64_t& newest = daemon.newest[service.value];
+      std::uint64_t& newest = daemon.latestRevisions[service.value];
       RC_ASSERT(entry.revision.value >= newest);
       newest = entry.revision.value;
     }
   }
 
-  void DropBehindSnapshot(std::size_t aDaemon, std::uint8_t aDetail)
+  void CompactLog(std::size_t aDaemon, std::uint8_t aDetail)
   {
     const Daemon& daemon = this->daemons[aDaemon];
-    if (!daemon.reader->Whole() || daemon.read == 0 || aDetail > 4) {
+    if (!daemon.reader->IsComplete() || daemon.batchesRead == 0 ||
+        aDetail > 4) {
       return;
     }
     // What the snapshot does not cover stays in the log behind it.
     records::Batch batch;
-    batch.set_writer("snapshot/" + std::to_string(++this->lastLife));
+    batch.set_writer("snapshot/" + std::to_string(++this->lastIncarnation));
     batch.set_sequence(1);
     *batch.add_records()->mutable_snapshot() = daemon.reader->Snapshot();
-    const std::size_t covered = daemon.read;
+    const std::size_t covered = daemon.batchesRead;
     this->Append(batch);
     this->earliest = std::max(this->earliest, covered + 1);
   }
@@ -281,8 +286,8 @@
   std::size_t earliest = 1;
   std::vector<Daemon> daemons;
   Oracle oracle;
-  std::uint64_t lastLife = 0;
-  std::uint64_t mark = 0;
+  std::uint64_t lastIncarnation = 0;
+  std::uint64_t lastChangeNumber = 0;
 };
 
 } // namespace
@@ -299,7 +304,7 @@
       gen::set(&ControlStep::kind, gen::inRange<std::uint8_t>(0, 9)),
       gen::set(&ControlStep::daemon, gen::inRange<std::uint8_t>(0, 3)),
       gen::set(&ControlStep::service, gen::inRange<std::uint8_t>(0, 4)),
-      gen::set(&ControlStep::detail, gen::inRange<std::uint8_t>(0, 12)));
+      gen::set(&ControlStep::variant, gen::inRange<std::uint8_t>(0, 12)));
   }
 };
 } // namespace rc
@@ -309,9 +314,9 @@
 TEST_CASE("configuration converges and never reverts")
 {
   CHECK(rc::check([](const std::vector<ControlStep>& aSteps) {
-    ControlWorld world;
+    ControlSimulation world;
     for (const ControlStep& step : aSteps) {
-      world.Take(step);
+      world.RunStep(step);
     }
     world.CheckConverged();
   }));
--- a/test/golden/Session.cpp
+++ b/test/golden/ScriptedSession.cpp
@@ -1,4 +1,4 @@
-#include "Session.h"
+#include "ScriptedSession.h"
 
 #include "base/Invariant.h"
 
@@ -12,7 +12,7 @@
 constexpr TimePoint kLater{ 1000000 };
 
 std::string
-FactOf(const std::string& aMove)
+RollbackFactKey(const std::string& aMove)
 {
   return "taken-back/" + aMove;
 }
@@ -41,7 +41,7 @@
 }
 
 std::vector<std::string>
-Split(const std::string& aLine)
+SplitWords(const std::string& aLine)
 {
   std::istringstream stream(aLine);
   std::vector<std::string> words;
@@ -53,27 +53,27 @@
 
 } // namespace
 
-Session::Node&
-Session::NodeOf(const std::string& aName)
+ScriptedSession::Node&
+ScriptedSession::NodeOf(const std::string& aName)
 {
   Node& node = this->nodes[aName];
   if (!node.reader) {
     node.reader = std::make_unique<ControlReader>(
-      WriterId{ aName + "/" + std::to_string(++this->lastLife) });
+      WriterId{ aName + "/" + std::to_string(++this->lastIncarnation) });
   }
   return node;
 }
 
 void
-Session::Append(const records::Batch& aBatch)
+ScriptedSession::Append(const records::Batch& aBatch)
 {
   this->log.push_back(aBatch);
-  this->record += "  offset " + std::to_string(this->log.size()) +
-                  " is written by " + aBatch.writer() + "\n";
+  this->transcript += "  offset " + std::to_string(this->log.size()) +
+                      " is written by " + aBatch.writer() + "\n";
 }
 
 void
-Session::Propose(const Words& aWords)
+ScriptedSession::ProposeConfigChange(const Words& aWords)
 {
   records::Record change;
   const bool move = aWords.size() > 5 && aWords[5] == "move";
@@ -86,7 +86,7 @@
 }
 
 void
-Session::ProposeRecord(const Words& aWords)
+ScriptedSession::ProposeRolloutRecord(const Words& aWords)
 {
   records::Record proposal;
   const std::uint64_t move = std::stoull(aWords[2]);
@@ -104,116 +104,119 @@
 }
 
 void
-Session::Send(const Words& aWords)
+ScriptedSession::SendBatch(const Words& aWords)
 {
   AppendQueue& queue = this->NodeOf(aWords[1]).reader->Queue();
   const auto batch = queue.NextToSend();
   if (!batch) {
-    this->record += "  nothing to send\n";
+    this->transcript += "  nothing to send\n";
     return;
   }
   const std::string& fate = aWords[2];
   if (fate == "ok" || fate == "lost") {
     this->Append(*batch);
   } else if (fate == "late") {
-    this->late.push_back(*batch);
+    this->delayedBatches.push_back(*batch);
   }
   if (fate == "ok") {
-    queue.Settled(batch->sequence());
+    queue.MarkCommitted(batch->sequence());
   } else {
-    queue.Unclear();
+    queue.AllowResend();
   }
 }
 
 void
-Session::Read(Node& aNode)
+ScriptedSession::ReadLog(Node& aNode)
 {
-  for (; aNode.read < this->log.size(); ++aNode.read) {
-    aNode.reader->Apply(aNode.read + 1, this->log[aNode.read]);
+  for (; aNode.appliedRecords < this->log.size(); ++aNode.appliedRecords) {
+    aNode.reader->Apply(aNode.appliedRecords + 1,
+                        this->log[aNode.appliedRecords]);
   }
 }
 
 void
-Session::Show(const Words& aWords)
+ScriptedSession::ShowService(const Words& aWords)
 {
   Node& node = this->NodeOf(aWords[1]);
   const ControlTable& table = node.reader->Table();
   const ServiceEntry* entry = table.Find(ServiceId{ aWords[2] });
   if (entry == nullptr) {
-    this->record += "  nothing in force\n";
+    this->transcript += "  nothing in force\n";
     return;
   }
-  const auto found = table.Moves().find(entry->revision);
-  const MoveState* move =
-    found == table.Moves().end() ? nullptr : &found->second;
-  const bool back = move != nullptr &&
-                    node.facts.Holds(FactOf(std::to_string(move->move.value)));
-  this->record +=
+  const auto found = table.RolloutsByRevision().find(entry->revision);
+  const RolloutState* move =
+    found == table.RolloutsByRevision().end() ? nullptr : &found->second;
+  const bool back =
+    move != nullptr &&
+    node.facts.Contains(RollbackFactKey(std::to_string(move->rollout.value)));
+  this->transcript +=
     "  revision " + std::to_string(entry->revision.value) + ", target " +
     std::to_string(entry->document.first_token_target_ms()) + " ms, shares";
-  for (const VersionShare& share : SharesInForce(*entry, move, back)) {
-    this->record +=
+  for (const VersionShare& share : EffectiveShares(*entry, move, back)) {
+    this->transcript +=
       " " + share.version.value + "=" + std::to_string(share.percent);
   }
-  this->record += "\n";
-  for (const auto& [position, state] : table.Moves()) {
-    this->record += "  move " + std::to_string(position.value) + " at step " +
-                    std::to_string(state.step) + " " + ToText(state.status) +
-                    (state.reason.empty() ? "" : " (" + state.reason + ")") +
-                    "\n";
+  this->transcript += "\n";
+  for (const auto& [position, state] : table.RolloutsByRevision()) {
+    this->transcript +=
+      "  move " + std::to_string(position.value) + " at step " +
+      std::to_string(state.step) + " " + ToText(state.status) +
+      (state.reason.empty() ? "" : " (" + state.reason + ")") + "\n";
   }
 }
 
 void
-Session::PlayLine(const Words& aWords)
+ScriptedSession::RunCommand(const Words& aWords)
 {
   const std::string& command = aWords[0];
   if (command == "propose") {
-    this->Propose(aWords);
+    this->ProposeConfigChange(aWords);
   } else if (command == "step" || command == "done" || command == "take-back") {
-    this->ProposeRecord(aWords);
+    this->ProposeRolloutRecord(aWords);
   } else if (command == "fact") {
-    this->NodeOf(aWords[1]).facts.Add({ FactOf(aWords[2]), kLater }, kNow);
+    this->NodeOf(aWords[1]).facts.Add({ RollbackFactKey(aWords[2]), kLater },
+                                      kNow);
   } else if (command == "gossip") {
     for (const FactEntry& fact : this->NodeOf(aWords[1]).facts.All()) {
       this->NodeOf(aWords[2]).facts.Add(fact, kNow);
     }
   } else if (command == "send") {
-    this->Send(aWords);
+    this->SendBatch(aWords);
   } else if (command == "land") {
-    for (const records::Batch& batch : this->late) {
+    for (const records::Batch& batch : this->delayedBatches) {
       this->Append(batch);
     }
-    this->late.clear();
+    this->delayedBatches.clear();
   } else if (command == "read") {
-    this->Read(this->NodeOf(aWords[1]));
+    this->ReadLog(this->NodeOf(aWords[1]));
   } else if (command == "verdict") {
     const auto verdict =
-      this->NodeOf(aWords[1]).reader->Table().VerdictOn(aWords[2]);
-    this->record += !verdict ? "  not known\n"
-                    : verdict->accepted
-                      ? "  accepted\n"
-                      : "  refused: " + verdict->reason + "\n";
+      this->NodeOf(aWords[1]).reader->Table().ResultOf(aWords[2]);
+    this->transcript += !verdict ? "  not known\n"
+                        : verdict->accepted
+                          ? "  accepted\n"
+                          : "  refused: " + verdict->reason + "\n";
   } else if (command == "replace") {
     this->nodes.erase(aWords[1]);
   } else {
     Invariant(command == "show", "a session's command is known");
-    this->Show(aWords);
+    this->ShowService(aWords);
   }
 }
 
 std::string
-Session::Play(const std::string& aScript)
+ScriptedSession::Run(const std::string& aScript)
 {
   std::istringstream script(aScript);
   for (std::string line; std::getline(script, line);) {
-    this->record += line + "\n";
-    const Words words = Split(line);
+    this->transcript += line + "\n";
+    const Words words = SplitWords(line);
     if (!words.empty() && words[0] != "#") {
-      this->PlayLine(words);
+      this->RunCommand(words);
     }
   }
-  return this->record;
+  return this->transcript;
 }
 
 } // namespace toucanshed::test
--- a/test/golden/Session.h
+++ b/test/golden/ScriptedSession.h
@@ -26,35 +26,35 @@
  *   replace D                            a new process at D
  *   show D SERVICE                       what D has in force
  */
-class Session
+class ScriptedSession
 {
 public:
   /** Plays all lines. \return the record. */
-  std::string Play(const std::string& aScript);
+  std::string Run(const std::string& aScript);
 
 private:
   struct Node
   {
     std::unique_ptr<ControlReader> reader;
     FactSet facts;
-    std::size_t read = 0;
+    std::size_t appliedRecords = 0;
   };
   using Words = std::vector<std::string>;
 
   Node& NodeOf(const std::string& aName);
-  void PlayLine(const Words& aWords);
-  void Propose(const Words& aWords);
-  void ProposeRecord(const Words& aWords);
-  void Send(const Words& aWords);
-  void Read(Node& aNode);
-  void Show(const Words& aWords);
+  void RunCommand(const Words& aWords);
+  void ProposeConfigChange(const Words& aWords);
+  void ProposeRolloutRecord(const Words& aWords);
+  void SendBatch(const Words& aWords);
+  void ReadLog(Node& aNode);
+  void ShowService(const Words& aWords);
   void Append(const records::Batch& aBatch);
 
   std::map<std::string, Node> nodes;
   std::vector<records::Batch> log;
-  std::vector<records::Batch> late;
-  std::uint64_t lastLife = 0;
-  std::string record;
+  std::vector<records::Batch> delayedBatches;
+  std::uint64_t lastIncarnation = 0;
+  std::string transcript;
 };
 
 } // namespace toucanshed::test
--- a/test/golden/SessionTest.cpp
+++ b/test/golden/ScriptedSessionTest.cpp
@@ -1,4 +1,4 @@
-#include "Session.h"
+#include "ScriptedSession.h"
 
 #include "cli/Timeline.h"
 
@@ -22,7 +22,7 @@
 }
 
 void
-Compare(const std::string& aRecord, const std::string& aPath)
+CompareWithGolden(const std::string& aRecord, const std::string& aPath)
 {
   if (std::getenv("TOUCANSHED_GOLDEN") != nullptr) {
     std::ofstream(aPath) << aRecord;
@@ -34,8 +34,8 @@
 CheckSession(const std::string& aName)
 {
   const std::string path = "test/golden/" + aName;
-  Session session;
-  Compare(session.Play(ReadFile(path + ".session")), path + ".golden");
+  ScriptedSession session;
+  CompareWithGolden(session.Run(ReadFile(path + ".session")), path + ".golden");
 }
 
 std::vector<std::string>
@@ -51,38 +51,39 @@
 
 } // namespace
 
-TEST_CASE("two operators race and one is told by what it lost")
+TEST_CASE("of two racing changes one is refused with a reason")
 {
   CheckSession("operator-race");
 }
 
-TEST_CASE("a bad canary is taken back while the log is down")
+TEST_CASE("a bad canary is rolled back during a log outage")
 {
   CheckSession("canary-in-outage");
 }
 
-TEST_CASE("a move is overtaken by a new document")
+TEST_CASE("a new document supersedes a running rollout")
 {
   CheckSession("move-overtaken");
 }
 
-TEST_CASE("lost and late answers of the log change nothing twice")
+TEST_CASE("lost or late log responses apply no record twice")
 {
   CheckSession("lost-answers");
 }
 
-TEST_CASE("a time line of a reclaim during a move reads in causal order")
+TEST_CASE("a timeline orders reclaim and rollout causally")
 {
   const auto lines = LinesOf(ReadFile("test/golden/reclaim-in-move.events"));
   REQUIRE(lines.size() > 5);
-  Compare(RenderTimeline(lines, {}), "test/golden/reclaim-in-move.golden");
+  CompareWithGolden(RenderTimeline(lines, {}),
+                    "test/golden/reclaim-in-move.golden");
 }
 
-TEST_CASE("a time line follows one request through its attempts")
+TEST_CASE("a timeline follows a request through its attempts")
 {
   const auto lines = LinesOf(ReadFile("test/golden/reclaim-in-move.events"));
-  Compare(RenderTimeline(lines, { "r-daemon-1.1-4" }),
-          "test/golden/reclaim-in-move-request.golden");
+  CompareWithGolden(RenderTimeline(lines, { "r-daemon-1.1-4" }),
+                    "test/golden/reclaim-in-move-request.golden");
 }
 
 } // namespace toucanshed::test
--- a/test/performance/MembershipCost.cpp
+++ b/test/performance/MembershipCost.cpp
@@ -1,4 +1,4 @@
-#include "test/MemberNet.h"
+#include "test/MembershipSimulation.h"
 
 #include <catch2/catch.hpp>
 #include <iomanip>
@@ -7,24 +7,25 @@
 namespace toucanshed::test {
 namespace {
 
-struct MemberCost
+struct MembershipCost
 {
   double bytesPerSecond = 0;
   double messagesPerSecond = 0;
-  double detectSeconds = 0;
-  double joinSeconds = 0;
+  double detectionSeconds = 0;
+  double convergenceSeconds = 0;
 };
 
-MemberCost
+MembershipCost
 Measure(std::size_t aCount)
 {
-  MemberNet net(aCount);
+  MembershipSimulation net(aCount);
   const TimePoint start = net.now;
-  while (!net.AllSee(aCount) && net.now - start < Millis(120000)) {
+  while (!net.AllSeeAlive(aCount) && net.now - start < Millis(120000)) {
     net.Run(Millis(1000));
   }
-  MemberCost cost;
-  cost.joinSeconds = static_cast<double>((net.now - start).count()) / 1000.0;
+  MembershipCost cost;
+  cost.convergenceSeconds =
+    static_cast<double>((net.now - start).count()) / 1000.0;
   net.Run(Millis(180000));
   net.bytes = 0;
   net.messages = 0;
@@ -35,31 +36,32 @@
   cost.messagesPerSecond = static_cast<double>(net.messages) / each;
   net.nodes[aCount - 1].dead = true;
   const TimePoint killed = net.now;
-  while (net.SeenAs(aCount - 1, peer::DEAD) < aCount - 1 &&
+  while (net.CountSeeing(aCount - 1, peer::DEAD) < aCount - 1 &&
          net.now - killed < Millis(60000)) {
     net.Run(Millis(100));
   }
-  cost.detectSeconds = static_cast<double>((net.now - killed).count()) / 1000.0;
+  cost.detectionSeconds =
+    static_cast<double>((net.now - killed).count()) / 1000.0;
   return cost;
 }
 
 } // namespace
 
-TEST_CASE("membership costs a daemon the same at any size")
+TEST_CASE("membership cost per daemon is bounded at any size")
 {
   std::cout << "members  bytes/s/daemon  messages/s/daemon  dead to all after s"
                "  all known after s\n";
-  MemberCost largest;
+  MembershipCost largest;
   for (const std::size_t count : { 6U, 50U, 330U }) {
     largest = Measure(count);
     std::cout << std::setw(7) << count << std::fixed << std::setprecision(1)
               << std::setw(16) << largest.bytesPerSecond << std::setw(19)
               << largest.messagesPerSecond << std::setw(21)
-              << largest.detectSeconds << std::setw(19) << largest.joinSeconds
-              << "\n";
+              << largest.detectionSeconds << std::setw(19)
+              << largest.convergenceSeconds << "\n";
   }
   CHECK(largest.bytesPerSecond < 2000);
-  CHECK(largest.detectSeconds < 20);
+  CHECK(largest.detectionSeconds < 20);
 }
 
 } // namespace toucanshed::test
--- a/test/performance/PolicyBenchmark.cpp
+++ b/test/performance/PolicyBenchmark.cpp
@@ -1,4 +1,4 @@
-#include "PolicyWorld.h"
+#include "PolicySimulation.h"
 
 #include "coord/RetryBudget.h"
 
@@ -19,19 +19,19 @@
 PolicyResult
 RunWith(PolicyOptions aOptions)
 {
-  return PolicyWorld(aOptions).Run();
+  return PolicySimulation(aOptions).Run();
 }
 
 void
 PrintRow(const std::string& aName, const PolicyResult& aResult)
 {
-  const double reports = static_cast<double>(aResult.reportsInTime) * 100 /
-                         static_cast<double>(aResult.reports);
+  const double reports = static_cast<double>(aResult.batchInTime) * 100 /
+                         static_cast<double>(aResult.batchRequests);
   std::cout << std::left << std::setw(22) << aName << std::right << std::fixed
             << std::setprecision(0) << std::setw(6)
-            << aResult.QuickQuantile(0.5) << std::setw(6)
-            << aResult.QuickQuantile(0.95) << std::setw(6)
-            << aResult.QuickQuantile(0.99) << std::setprecision(1)
+            << aResult.InteractiveQuantile(0.5) << std::setw(6)
+            << aResult.InteractiveQuantile(0.95) << std::setw(6)
+            << aResult.InteractiveQuantile(0.99) << std::setprecision(1)
             << std::setw(11) << reports << std::setw(14)
             << static_cast<double>(aResult.recomputedTokens) / 1000
             << std::setw(9) << aResult.refused << "\n";
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("routing beats the baselines in the lunch hour")
+TEST_CASE("routing beats the baselines at peak load")
 {
   std::cout << "lunch hour, one slow engine: quick help's first token (ms)\n"
             << "policy                   p50   p95   p99  reports %"
@@ -53,11 +53,13 @@
   }
   const PolicyResult& ours = results.front();
   for (std::size_t i = 1; i < results.size(); ++i) {
-    CHECK(ours.QuickQuantile(0.5) <= results[i].QuickQuantile(0.5));
-    CHECK(ours.QuickQuantile(0.95) <= results[i].QuickQuantile(0.95));
-    CHECK(ours.QuickQuantile(0.99) <= results[i].QuickQuantile(0.99));
+    CHECK(ours.InteractiveQuantile(0.5) <= results[i].InteractiveQuantile(0.5));
+    CHECK(ours.InteractiveQuantile(0.95) <=
+          results[i].InteractiveQuantile(0.95));
+    CHECK(ours.InteractiveQuantile(0.99) <=
+          results[i].InteractiveQuantile(0.99));
     CHECK(ours.recomputedTokens < results[i].recomputedTokens);
-    CHECK(ours.reportsInTime >= results[i].reportsInTime);
+    CHECK(ours.batchInTime >= results[i].batchInTime);
   }
 }
 
@@ -72,7 +74,7 @@
       PolicyOptions options;
       options.policy = policy;
       options.load = load;
-      options.lunchShape = false;
+      options.peakProfile = false;
       const auto goodput = static_cast<double>(RunWith(options).Goodput());
       std::cout << std::setw(7) << std::setprecision(0) << goodput;
       if (policy == RoutingPolicy::eExpectedFirstToken) {
@@ -92,7 +94,7 @@
   PolicyOptions alone;
   alone.largeTeamShare = 0;
   alone.load = 0.3;
-  alone.lunchShape = false;
+  alone.peakProfile = false;
   alone.slowEngine = false;
   const PolicyResult calm = RunWith(alone);
   PolicyOptions flooded = alone;
@@ -105,23 +107,23 @@
   CHECK(flood.SmallTeamQuantile(0.95) <= 1.2 * calm.SmallTeamQuantile(0.95));
 }
 
-TEST_CASE("retries add at most a tenth while half of the tries fail")
+TEST_CASE("retries add at most 10% when half of attempts fail")
 {
   RetryBudget budget;
   Random random(1);
   std::uint64_t tries = 0;
   constexpr std::uint64_t kRequests = 10000;
   for (std::uint64_t i = 0; i < kRequests; ++i) {
-    budget.FirstTry();
+    budget.RecordRequest();
     ++tries;
-    while (random.Below(2) == 0 && budget.TakeRetry()) {
+    while (random.NextBelow(2) == 0 && budget.TryTakeRetry()) {
       ++tries;
     }
   }
   const double added = static_cast<double>(tries - kRequests) / kRequests;
   std::cout << "retry storm adds " << std::setprecision(1) << added * 100
             << " %\n";
-  CHECK(added <= 0.1 + RetryBudget::kMostSaved / kRequests);
+  CHECK(added <= 0.1 + RetryBudget::kMaxRetries / kRequests);
 }
 
 } // namespace toucanshed::test
--- a/test/performance/PolicyWorld.h
+++ b/test/performance/PolicySimulation.h
@@ -6,8 +6,8 @@
 
 #include "base/Random.h"
 #include "coord/FairQueue.h"
-#include "coord/PlaceBudget.h"
 #include "coord/Router.h"
+#include "coord/SlotBudget.h"
 
 #include <cstdint>
 #include <functional>
@@ -25,9 +25,9 @@
   RoutingPolicy policy = RoutingPolicy::eExpectedFirstToken;
   std::size_t engines = 20;
   std::size_t daemons = 6;
-  double load = 0.8;      // of the capacity, at the peak
-  bool lunchShape = true; // half the load, the peak, half the load
-  bool slowEngine = true; // engine 0 takes three times as long
+  double load = 0.8;       // of the capacity, at the peak
+  bool peakProfile = true; // half the load, the peak, half the load
+  bool slowEngine = true;  // engine 0 takes three times as long
   double largeTeamShare = 0.6;
   std::int64_t seconds = 60;
   std::uint64_t seed = 1;
@@ -35,28 +35,28 @@
 
 struct PolicyResult
 {
-  std::vector<double> quickFirstMs;
-  std::vector<double> smallTeamFirstMs;
+  std::vector<double> interactiveFirstTokenMs;
+  std::vector<double> smallTeamFirstTokenMs;
   std::uint64_t arrived = 0;
   std::uint64_t refused = 0;
-  std::uint64_t quickInTime = 0;
-  std::uint64_t reports = 0;
-  std::uint64_t reportsInTime = 0;
+  std::uint64_t interactiveInTime = 0;
+  std::uint64_t batchRequests = 0;
+  std::uint64_t batchInTime = 0;
   std::uint64_t recomputedTokens = 0; // prefix tokens computed again
 
-  [[nodiscard]] double QuickQuantile(double aShare) const;
+  [[nodiscard]] double InteractiveQuantile(double aShare) const;
   [[nodiscard]] double SmallTeamQuantile(double aShare) const;
   /** Requests that ended in time. */
   [[nodiscard]] std::uint64_t Goodput() const
   {
-    return this->quickInTime + this->reportsInTime;
+    return this->interactiveInTime + this->batchInTime;
   }
 };
 
-class PolicyWorld
+class PolicySimulation
 {
 public:
-  explicit PolicyWorld(PolicyOptions aOptions);
+  explicit PolicySimulation(PolicyOptions aOptions);
 
   PolicyResult Run();
 
@@ -67,8 +67,8 @@
     std::uint64_t ticket = 0;
     QueueItem item;
     RouteRequest route;
-    std::uint64_t outTokens = 0;
-    bool large = false;
+    std::uint64_t outputTokens = 0;
+    bool largeTeam = false;
     int priority = 0;
     EngineChoice choice;
     TimePoint sent;
@@ -79,39 +79,42 @@
   {
     std::uint64_t running = 0;
     std::list<JobPtr> waiting;
-    std::list<std::uint64_t> cache; // prefixes, the last used first
+    std::list<std::uint64_t> cachedPrefixes; // prefixes, the last used first
     double slowness = 1;
   };
   struct FakeDaemon
   {
     std::unique_ptr<Router> router;
     FairQueue queue;
-    PlaceBudget budget;
+    SlotBudget budget;
     std::map<std::uint64_t, JobPtr> waiting;
   };
-  struct Timed
+  struct ScheduledEvent
   {
-    std::int64_t us = 0;
+    std::int64_t atUs = 0;
     std::uint64_t order = 0;
     std::function<void()> run;
 
-    bool operator<(const Timed& aOther) const
+    bool operator<(const ScheduledEvent& aOther) const
     {
-      return std::tie(aOther.us, aOther.order) < std::tie(us, order);
+      return std::tie(aOther.atUs, aOther.order) < std::tie(atUs, order);
     }
   };
 
-  void At(std::int64_t aUs, std::function<void()> aRun);
-  [[nodiscard]] TimePoint Now() const { return TimePoint{ this->us / 1000 }; }
+  void Schedule(std::int64_t aUs, std::function<void()> aRun);
+  [[nodiscard]] TimePoint Now() const
+  {
+    return TimePoint{ this->nowUs / 1000 };
+  }
   void ScheduleArrivals();
   void Arrive();
-  void Pump(std::size_t aDaemon);
+  void DispatchQueued(std::size_t aDaemon);
   void Expire(std::size_t aDaemon);
-  void ReachEngine(const JobPtr& aJob);
+  void EnqueueAtEngine(const JobPtr& aJob);
   void StartNext(FakeEngine& aEngine);
   void Start(FakeEngine& aEngine, const JobPtr& aJob);
-  void End(FakeEngine& aEngine, const JobPtr& aJob);
-  void Report();
+  void Finish(FakeEngine& aEngine, const JobPtr& aJob);
+  void ReportEngines();
   [[nodiscard]] double LoadAt(std::int64_t aUs) const;
 
   PolicyOptions options;
@@ -119,9 +122,9 @@
   PolicyResult result;
   std::vector<FakeEngine> engines;
   std::vector<FakeDaemon> daemons;
-  std::priority_queue<Timed> events;
-  std::int64_t us = 0;
-  std::uint64_t order = 0;
+  std::priority_queue<ScheduledEvent> events;
+  std::int64_t nowUs = 0;
+  std::uint64_t lastOrder = 0;
   std::uint64_t lastTicket = 0;
 };
 
--- a/test/performance/RelayBenchmark.cpp
+++ b/test/performance/RelayBenchmark.cpp
@@ -1,4 +1,4 @@
-#include "test/PlatformWorld.h"
+#include "test/PlatformHarness.h"
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -48,14 +48,14 @@
 };
 
 Task<void>
-ReadStream(PlatformWorld& aWorld, RelayCost& aCost)
+ReadStream(PlatformHarness& aWorld, RelayCost& aCost)
 {
-  CallerSend send;
+  CallerMessage send;
   send.path = "/report/1";
   send.fields = { { "Deadline-Ms", "1400" } };
   const auto began = std::chrono::steady_clock::now();
   const std::uint64_t before = sAllocations;
-  const CallerView seen = co_await aWorld.Ask(std::move(send));
+  const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
   const std::chrono::duration<double, std::nano> took =
     std::chrono::steady_clock::now() - began;
   aCost.nsPerEvent = took.count() / kEvents;
@@ -70,8 +70,8 @@
 {
   // The stand-in engine, the daemon and the caller share one thread, so the
   // figures hold all three: an upper bound for the daemon's own part.
-  PlatformWorld world(22500);
-  world.AddEngine("e1", "model").events = kEvents;
+  PlatformHarness world(22500);
+  world.AddEngine("e1", "model").eventsPerStream = kEvents;
   RelayCost cost;
   world.Run(ReadStream(world, cost));
   std::cout << "relay: " << cost.nsPerEvent << " ns and "
--- a/test/performance/MoveWorld.cpp
+++ b/test/performance/RolloutSimulation.cpp
@@ -1,4 +1,4 @@
-#include "MoveWorld.h"
+#include "RolloutSimulation.h"
 
 #include <cmath>
 #include <memory>
@@ -11,7 +11,7 @@
 constexpr std::int64_t kTickMs = 50;
 constexpr std::int64_t kGossipMs = 300;
 constexpr double kRequestsPerSecond = 30;
-constexpr double kRareRoute = 0.2;
+constexpr double kRareRouteShare = 0.2;
 constexpr std::int64_t kSecond = 1000;
 const Position kMove{ 4096 };
 const VersionId kOld{ "v1" };
@@ -33,21 +33,21 @@
 class World
 {
 public:
-  World(const MoveScene& aScene, std::uint64_t aSeed)
+  World(const RolloutScenario& aScene, std::uint64_t aSeed)
     : scene(aScene)
     , random(aSeed)
     , asked(Asked())
   {
-    this->outlook.state.move = kMove;
+    this->outlook.state.rollout = kMove;
     this->outlook.state.from = kOld;
     this->outlook.state.to = kNew;
-    this->outlook.asked = this->asked;
+    this->outlook.spec = this->asked;
     for (std::size_t i = 0; i < kDaemons; ++i) {
       this->tables.emplace_back("d" + std::to_string(i));
     }
   }
 
-  MoveRun Run()
+  RolloutResult Run()
   {
     constexpr std::int64_t kMostMs = 400 * kSecond;
     while (this->ms < kMostMs && !this->Settled()) {
@@ -69,30 +69,30 @@
 
   [[nodiscard]] double Normal()
   {
-    const double u = 1 - this->random.Unit();
-    const double angle = 6.283185307 * this->random.Unit();
+    const double u = 1 - this->random.NextUnit();
+    const double angle = 6.283185307 * this->random.NextUnit();
     return std::sqrt(-2 * std::log(u)) * std::cos(angle);
   }
 
   [[nodiscard]] std::uint32_t ShareNow(std::size_t aDaemon) const
   {
-    if (this->run.done) {
+    if (this->run.completed) {
       return 100;
     }
     // The daemon that finds the version bad acts at once; the word reaches the
     // others with its next message.
-    const bool heard = this->run.takenBack &&
+    const bool heard = this->run.rolledBack &&
                        (aDaemon == 0 || this->ms >= this->ended + kGossipMs);
     return heard ? 0
-                 : SharePercentAt(this->outlook.state.step,
-                                  this->asked.canary_percent());
+                 : NewVersionPercentAt(this->outlook.state.step,
+                                       this->asked.canary_percent());
   }
 
   void Traffic()
   {
     const double expected = kRequestsPerSecond * kTickMs / kSecond;
     auto count = static_cast<std::uint64_t>(expected);
-    count += this->random.Unit() < expected - std::floor(expected) ? 1 : 0;
+    count += this->random.NextUnit() < expected - std::floor(expected) ? 1 : 0;
     for (std::uint64_t i = 0; i < count; ++i) {
       this->One();
     }
@@ -100,41 +100,43 @@
 
   [[nodiscard]] bool FaultyNow(bool aRare) const
   {
-    return this->scene.Bad() && this->ms >= this->scene.badAfterS * kSecond &&
-           this->outlook.state.step >= this->scene.badFromStep &&
-           (!this->scene.badRouteOnly || aRare);
+    return this->scene.IsBad() &&
+           this->ms >= this->scene.faultyAfterS * kSecond &&
+           this->outlook.state.step >= this->scene.faultyFromStep &&
+           (!this->scene.rareRouteOnly || aRare);
   }
 
   void One()
   {
-    const std::size_t daemon = this->random.Below(kDaemons);
-    const bool fresh = this->random.Below(100) < this->ShareNow(daemon);
-    const bool rare = this->random.Unit() < kRareRoute;
+    const std::size_t daemon = this->random.NextBelow(kDaemons);
+    const bool fresh = this->random.NextBelow(100) < this->ShareNow(daemon);
+    const bool rare = this->random.NextUnit() < kRareRouteShare;
     const bool faulty = fresh && this->FaultyNow(rare);
     Observation seen;
-    double slow = faulty ? this->scene.slowFactor : 1;
-    if (fresh && this->random.Unit() < this->scene.slowEngineShare) {
+    double slow = faulty ? this->scene.firstTokenFactor : 1;
+    if (fresh && this->random.NextUnit() < this->scene.slowEngineShare) {
       slow *= 3;
     }
     const bool peakNow =
       this->scene.peak && this->ms >= 60 * kSecond && this->ms < 120 * kSecond;
     slow *= peakNow ? 3 : 1;
     seen.firstTokenMs = 80 * slow * std::exp(0.5 * this->Normal());
-    const double gap = faulty ? this->scene.slowTokens : 1;
+    const double gap = faulty ? this->scene.tokenGapFactor : 1;
     seen.meanGapMs = 20 * gap * std::exp(0.15 * this->Normal());
     const bool wave = this->scene.reclaimWave && this->ms >= 50 * kSecond &&
                       this->ms < 52 * kSecond;
-    seen.error = (faulty && this->random.Unit() < this->scene.failShare) ||
-                 (wave && this->random.Unit() < 0.1) ||
-                 this->random.Unit() < 0.002;
-    const bool verdict = this->ended >= 0 && this->run.takenBack;
+    seen.error =
+      (faulty && this->random.NextUnit() < this->scene.failureShare) ||
+      (wave && this->random.NextUnit() < 0.1) ||
+      this->random.NextUnit() < 0.002;
+    const bool verdict = this->ended >= 0 && this->run.rolledBack;
     if (fresh && verdict) {
-      ++this->run.newAfter;
+      ++this->run.newAfterRollback;
       this->run.secondsToZero =
         static_cast<double>(this->ms - this->ended) / kSecond;
     }
     if (faulty && !verdict) {
-      ++this->run.badBefore;
+      ++this->run.faultyBeforeRollback;
     }
     this->tables[daemon].Observe(
       kMove,
@@ -146,7 +148,8 @@
   void Gossip()
   {
     for (std::size_t i = 1; i < kDaemons; ++i) {
-      for (const peer::Evidence& evidence : this->tables[i].Own(kMove)) {
+      for (const peer::Evidence& evidence :
+           this->tables[i].LocalEvidence(kMove)) {
         this->tables[0].Merge(evidence);
       }
     }
@@ -158,38 +161,39 @@
   void Judge()
   {
     EvidenceTable& table = this->tables[0];
-    this->outlook.finding = TestVersion(
-      table.Sum(kMove, kOld), table.Sum(kMove, kNew), VersionTestLimits{});
+    this->outlook.finding = CompareVersions(table.Sum(kMove, kOld),
+                                            table.Sum(kMove, kNew),
+                                            VersionComparisonLimits{});
     this->outlook.stepRequests =
       this->outlook.finding.requests - this->requestsBefore;
-    const MoveDecision decision =
-      PlanMove(this->outlook, TimePoint{ this->ms });
-    switch (decision.proposal) {
-      case MoveProposal::eAdvance:
+    const RolloutProposal decision =
+      PlanRollout(this->outlook, TimePoint{ this->ms });
+    switch (decision.action) {
+      case RolloutAction::eAdvance:
         ++this->outlook.state.step;
-        this->outlook.stepSince = TimePoint{ this->ms };
+        this->outlook.stepStartedAt = TimePoint{ this->ms };
         this->requestsBefore = this->outlook.finding.requests;
         break;
-      case MoveProposal::eTakeBack:
-        this->run.takenBack = true;
+      case RolloutAction::eRollBack:
+        this->run.rolledBack = true;
         this->ended = this->ms;
         break;
-      case MoveProposal::eDone:
-        this->run.done = true;
+      case RolloutAction::eDone:
+        this->run.completed = true;
         this->ended = this->ms;
         break;
-      case MoveProposal::eWait:
+      case RolloutAction::eWait:
         break;
     }
     this->run.seconds = static_cast<double>(this->ms) / kSecond;
   }
 
-  MoveScene scene;
+  RolloutScenario scene;
   Random random;
   config::Move asked;
-  MoveOutlook outlook;
+  RolloutPlanInput outlook;
   std::vector<EvidenceTable> tables;
-  MoveRun run;
+  RolloutResult run;
   std::int64_t ms = 0;
   std::int64_t ended = -1;
   std::uint64_t requestsBefore = 0;
@@ -197,8 +201,8 @@
 
 } // namespace
 
-MoveRun
-RunMove(const MoveScene& aScene, std::uint64_t aSeed)
+RolloutResult
+SimulateRollout(const RolloutScenario& aScene, std::uint64_t aSeed)
 {
   return World(aScene, aSeed).Run();
 }
--- a/tools/lib/test_ports.py
+++ b/tools/lib/test_ports.py
@@ -15,7 +15,7 @@
     for path in listed.stdout.split():
         with open(path, encoding="utf-8") as file:
             for number, line in enumerate(file, 1):
-                match = re.search(r"PlatformWorld \w+\((\d+)\)", line)
+                match = re.search(r"PlatformHarness \w+\((\d+)\)", line)
                 if match:
                     worlds.append((int(match.group(1)), f"{path}:{number}"))
     worlds.sort()
