--- a/src/coord/Catalog.cpp
+++ b/src/coord/Catalog.cpp
@@ -7,9 +7,9 @@
 {
   const Route* best = nullptr;
   for (const Route& route : this->routes) {
-    const bool fits =
+    const bool matches =
       route.host == aHost && aPath.starts_with(route.pathPrefix);
-    if (!fits) {
+    if (!matches) {
       continue;
     }
     if (best == nullptr || route.pathPrefix.size() > best->pathPrefix.size()) {
--- a/src/coord/Catalog.h
+++ b/src/coord/Catalog.h
@@ -1,7 +1,7 @@
 /** \file
- * The configuration in force: which requests exist, who may send them, and
- * which services answer them. Immutable once built, so that every decision
- * about one request is made from one version.
+ * The configuration in force: which requests exist, which teams may send them,
+ * and which services handle them. It is immutable once built, so that all
+ * decisions about one request use the same version.
  */
 #pragma once
 
@@ -16,13 +16,14 @@
 
 namespace toucanshed {
 
-/** What may be repeated. */
+/** Whether and how a request may be repeated. */
 enum class RequestKind
 {
   eIdempotent,       // may run more than once
   eAtMostOnce,       // may run at most once
   eAtMostOnceStream, // a stream that may run at most once
-  eResumableStream,  // a stream that may go on elsewhere after its last event
+  eResumableStream,  // a stream that another back end may continue after its
+                     // last event
 };
 
 /** Whether a request of this kind may be sent again after it may have run. */
@@ -40,42 +41,42 @@
          aKind == RequestKind::eResumableStream;
 }
 
-/** One of the services behind a route, and its part of the traffic. */
+/** A service behind a route, and the weight of its traffic share. */
 struct RouteTarget
 {
   ServiceId service;
   std::uint32_t weight = 1;
 };
 
-/** One kind of request. */
+/** A kind of request. */
 struct Route
 {
   std::string name;
   std::string host;
   std::string pathPrefix;
   RequestKind kind = RequestKind::eAtMostOnce;
-  Millis timeout{ 0 };        // longest time a caller is kept waiting
-  Millis latencyTarget{ 0 };  // answered (streams: begun) later is late
-  Millis eventGapTarget{ 0 }; // a longer pause between events is late
+  Millis timeout{ 0 };        // maximum time until a caller's response
+  Millis latencyTarget{ 0 };  // a later response (stream: its start) is late
+  Millis eventGapTarget{ 0 }; // a longer gap between events is late
   int priority = 0;           // 0 goes first
   std::vector<RouteTarget> targets;
-  unsigned maxBackends = 1; // back ends that may run one request
-  bool isPublic = false;    // needs no key
+  unsigned maxBackends = 1; // maximum back ends that run one request
+  bool isPublic = false;    // requires no key
 };
 
-/** A model engine, alike for all engines of a service. */
+/** Properties that all engines of a service share. */
 struct EngineTraits
 {
   unsigned slots = 1;
 };
 
-/** How many engines may be ordered, for each failure domain. */
+/** Limits and prices for the number of engines in each failure domain. */
 struct ScaleBounds
 {
   unsigned minEngines = 0;
   unsigned maxEngines = 0;
   Millis bootTime{ 0 };
-  double reclaimablePriceRatio = 1; // against an on-demand engine beside it
+  double reclaimablePriceRatio = 1; // to an on-demand engine of the zone
   std::map<ZoneId, double> zonePrices;
 };
 
@@ -89,15 +90,15 @@
 struct Team
 {
   TeamId id;
-  std::optional<int> priority; // goes before the route's
-  bool countsTokens = false;   // else its limit counts requests
+  std::optional<int> priority; // overrides that of the route
+  bool countsTokens = false;   // otherwise its limit counts requests
   std::uint64_t defaultTokens =
-    1;                      // charged for a request that states no tokens
+    1;                      // for a request that states no number of tokens
   double ratePerSecond = 0; // 0: no limit
   double burst = 0;
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size of a caller's request and on the time it takes. */
 struct RequestLimits
 {
   std::uint32_t maxHeaderBytes = 16384;
@@ -116,12 +117,14 @@
   std::map<std::string, std::size_t, std::less<>> teamByKey;
   RequestLimits requestLimits;
 
-  /** The route of this host with the longest prefix of aPath, or null. */
+  /** Returns the route of aHost with the longest prefix of aPath, or null. */
   [[nodiscard]] const Route* FindRoute(std::string_view aHost,
                                        std::string_view aPath) const;
-  /** The team that holds the key, or null. */
+  /** Returns the team that owns the key, or null. */
   [[nodiscard]] const Team* FindTeam(std::string_view aKey) const;
+  /** Returns null when there is no such team. */
   [[nodiscard]] const Team* FindTeamById(const TeamId& aId) const;
+  /** Returns null when there is no such service. */
   [[nodiscard]] const ServiceSpec* FindService(const ServiceId& aId) const;
 };
 
--- a/src/coord/DocumentValidation.h
+++ b/src/coord/DocumentValidation.h
@@ -1,7 +1,7 @@
 /** \file
- * Checks the operators' configuration documents. The same checks run in the
- * command line, in the daemon that accepts a document, and in every daemon's
- * fold of the log, so that all agree on what is valid.
+ * Validates the operators' configuration documents. The command line, the
+ * daemon that accepts a document and every daemon that applies the log run the
+ * same checks, so that all agree on which documents are valid.
  */
 #pragma once
 
@@ -14,19 +14,20 @@
 
 namespace toucanshed {
 
-/** What is wrong with one service's document; empty when it is valid.
- * \param aPath where the document stands, for the complaints. Thread safety:
- * pure function. */
+/** Returns the errors in the document of a service; empty when it is valid.
+ * \param aPath of the document, for the errors
+ *
+ * Thread safety: pure function. */
 std::vector<ValidationError>
 ValidateDocument(const config::ServiceDocument& aDocument,
                  const std::string& aPath);
 
-/** Parses and checks a whole configuration file in JSON. Nothing of a file
- * with a complaint is used.
+/** Parses and validates a whole configuration file in JSON. A file with any
+ * error is rejected as a whole.
  *
  * \code
  * const auto parsed = ParseConfiguration(text);
- * if (!parsed) { std::cerr << Describe(parsed.error()); }
+ * if (!parsed) { std::cerr << FormatValidationErrors(parsed.error()); }
  * \endcode
  *
  * Thread safety: pure function. */
--- a/src/coord/DutyLog.cpp
+++ b/src/coord/DutyLog.cpp
@@ -5,8 +5,8 @@
 void
 DutyLog::SetClaim(DutyClaim aClaim)
 {
-  const bool other = this->claim && this->claim->holder != aClaim.holder;
-  if (other) {
+  const bool isOther = this->claim && this->claim->holder != aClaim.holder;
+  if (isOther) {
     this->superseded.insert(this->claim->holder);
   }
   this->claim = std::move(aClaim);
@@ -15,35 +15,35 @@
 void
 DutyLog::Apply(const serving::DutyRecord& aRecord, TimePoint aNow)
 {
-  const Position at = this->nextPosition;
+  const Position position = this->nextPosition;
   ++this->nextPosition.value;
   this->latestAt = aNow;
-  const bool decides =
+  const bool isDecision =
     aRecord.has_usage() || aRecord.scale_size() > 0 || aRecord.has_move();
   const DaemonId holder{ aRecord.holder() };
-  if (!decides) {
+  if (!isDecision) {
     this->SetClaim(
-      DutyClaim{ holder, aRecord.life(), Position{ at.value + 1 } });
+      DutyClaim{ holder, aRecord.life(), Position{ position.value + 1 } });
     return;
   }
-  // The claim itself may be older than the records that are kept.
-  const bool claimIsGone =
+  // The record of the claim may no longer be retained.
+  const bool isClaimUnknown =
     !this->claim || this->claim->fence.value < aRecord.fence();
-  if (claimIsGone) {
+  if (isClaimUnknown) {
     this->SetClaim(
       DutyClaim{ holder, aRecord.life(), Position{ aRecord.fence() } });
   }
-  const bool valid = this->claim->fence.value == aRecord.fence();
-  if (valid && aRecord.has_move()) {
-    // The first decision about an order stands.
-    serving::RolloutDecision& known =
+  const bool isValid = this->claim->fence.value == aRecord.fence();
+  if (isValid && aRecord.has_move()) {
+    // Only the first decision about an order is valid.
+    serving::RolloutDecision& latest =
       this->rolloutDecisions[aRecord.move().service()];
-    if (aRecord.move().order() > known.order() || known.service().empty()) {
-      known = aRecord.move();
+    if (aRecord.move().order() > latest.order() || latest.service().empty()) {
+      latest = aRecord.move();
     }
   }
-  if (valid && aRecord.has_usage()) {
-    // The first record of a window stands; a second one changes nothing.
+  if (isValid && aRecord.has_usage()) {
+    // Only the first report of a window is valid.
     this->usageReports.try_emplace(aRecord.usage().window(), aRecord.usage());
     while (this->usageReports.size() > kMaxReports) {
       this->usageReports.erase(this->usageReports.begin());
--- a/src/coord/DutyLog.h
+++ b/src/coord/DutyLog.h
@@ -1,6 +1,6 @@
 /** \file
- * Who holds the duties of one daemon at a time, and what holders decided, as
- * the store's records tell.
+ * The duty holder and the decisions of duty holders, read from the records in
+ * the store. A duty is a task that one daemon at a time does for all.
  */
 #pragma once
 
@@ -14,57 +14,65 @@
 
 namespace toucanshed {
 
-/** One daemon's claim to the duties. */
+/** A daemon's claim of the duties. */
 struct DutyClaim
 {
   DaemonId holder;
   std::uint64_t incarnation = 0;
-  /** One beyond its record's position, as 0 stands for no claim. Grows from
-   * claim to claim, and no two claims share one. */
+  /** Fencing token: the position of the claim's record plus one, as 0 means no
+   * claim. It grows with each claim and is unique. */
   Position fence;
 };
 
 /**
- * A fold over the records in their order, the same at every daemon. A decision
- * counts only while the claim it rests on is the newest: records are appended
- * on the condition that nothing was appended in between, so a holder that was
- * overtaken cannot add one. Records are kept for some seconds only, and a claim
- * may be older; whoever reads on from the first that is left takes it from the
- * decisions that name it. Without that a daemon that started late knew of no
- * report and recorded another one for the same window.
+ * Applies the records in their order, so that every daemon gets the same state.
+ * A decision is valid only while its claim is the latest one. Each record is
+ * appended on the condition that no other was appended in between, so a
+ * superseded holder cannot append a decision.
+ *
+ * The store retains records for some seconds only, and a claim may be older
+ * than that. A daemon that starts reading at the first retained record
+ * therefore takes the claim from the decisions that refer to it. Otherwise it
+ * would ignore their usage reports and record a second one for the same window.
  *
  * Thread safety: none; the owner serialises.
  */
 class DutyLog
 {
 public:
-  /** Reports kept; far more windows than can still be reported. */
+  /** Maximum number of retained reports; many more windows than can still be
+   * reported. */
   static constexpr std::size_t kMaxReports = 20;
 
-  /** Takes the record at End(). \param aNow when it was read. */
+  /** Applies the record at NextPosition().
+   * \param aNow when it was read */
   void Apply(const serving::DutyRecord& aRecord, TimePoint aNow);
-  /** Goes on at a later position, when the records before it are gone. */
+  /** Continues at a later position when the records before it have been
+   * dropped. */
   void SkipTo(Position aPosition) { this->nextPosition = aPosition; }
 
   [[nodiscard]] Position NextPosition() const { return this->nextPosition; }
+  /** Returns the latest claim, or nullopt when none is known. */
   [[nodiscard]] const std::optional<DutyClaim>& Claim() const
   {
     return this->claim;
   }
-  /** Whether another daemon has claimed what this one held. */
+  /** Whether another daemon has claimed the duties while aId held them. */
   [[nodiscard]] bool WasSuperseded(const DaemonId& aId) const
   {
     return this->superseded.contains(aId);
   }
-  /** When the newest record was read; a holder that lives adds some. */
+  /** Returns when the latest record was read. A running holder appends records
+   * continually. */
   [[nodiscard]] TimePoint LatestAt() const { return this->latestAt; }
-  /** The newest decision about a service's move, by the service's name. */
+  /** Returns the latest decision about each service's rollout, by the name of
+   * the service. */
   [[nodiscard]] const std::map<std::string, serving::RolloutDecision>&
   RolloutDecisions() const
   {
     return this->rolloutDecisions;
   }
-  /** What was recorded for each window. */
+  /** Returns the recorded usage report of each window. */
   [[nodiscard]] const std::map<std::uint64_t, serving::UsageReport>&
   UsageReports() const
   {
--- a/src/coord/Engine.cpp
+++ b/src/coord/Engine.cpp
@@ -11,14 +11,15 @@
 double
 Engine::EstimatedLoad(double aDaemons) const
 {
-  // The report is old. Were only this daemon's own sends added to it, all
-  // daemons would send to the engine that looked free in the same report.
+  // The report is outdated. If only this daemon's own requests were added to
+  // it, all daemons would send to the engine that appears free in the same
+  // report.
   const auto reported =
     static_cast<double>(this->report.running + this->report.waiting);
-  const auto fresh = static_cast<double>(this->inFlightSinceReport);
-  const auto ended = static_cast<double>(this->endedSinceReport);
+  const auto sentSince = static_cast<double>(this->inFlightSinceReport);
+  const auto endedSince = static_cast<double>(this->endedSinceReport);
   const auto own = static_cast<double>(this->inFlight);
-  return std::max(own, reported + aDaemons * fresh - ended);
+  return std::max(own, reported + aDaemons * sentSince - endedSince);
 }
 
 } // namespace toucanshed
--- a/src/coord/Engine.h
+++ b/src/coord/Engine.h
@@ -1,5 +1,5 @@
 /** \file
- * A back end as the router knows it.
+ * The router's view of an engine.
  */
 #pragma once
 
@@ -11,11 +11,12 @@
 
 namespace toucanshed {
 
-/** What the platform's list and the back end itself say, some time ago. */
+/** The latest data from the backend list and from the engine itself; it may be
+ * outdated. */
 struct EngineReport
 {
   InstanceId id;
-  std::string incarnation; // one life of the process at its address
+  std::string incarnation; // one run of the process at its address
   std::string address;     // IP:PORT
   ServiceId service;
   VersionId version;
@@ -26,29 +27,30 @@
   bool leaving = false;
 };
 
-/** "ID/INCARNATION": one life of a back end. A process restarted at the same
- * address is another one, and nothing said of the old one holds for it. */
+/** Returns the incarnation key "ID/INCARNATION", which names one run of an
+ * engine. A process restarted at the same address has another key, as nothing
+ * known of the old process applies to it. */
 std::string
 IncarnationKeyOf(const EngineReport& aReport);
 
-/** A back end with what this daemon itself has in flight there. */
+/** An engine, with this daemon's own requests in flight there. */
 struct Engine
 {
   EngineReport report;
-  std::uint64_t inFlight = 0;    // sent by this daemon, not ended
-  std::uint64_t reportCount = 0; // taken in so far
+  std::uint64_t inFlight = 0;    // sent by this daemon and not ended
+  std::uint64_t reportCount = 0; // reports received so far
   std::uint64_t inFlightSinceReport =
-    0; // of inFlight, sent since the last report
+    0; // of inFlight, sent since the latest report
   std::uint64_t endedSinceReport =
-    0;                        // of those in the last report, since ended
-  double meanServiceMs = 400; // time a request holds a slot
-  double slowness = 1;        // first tokens seen against expected
+    0;                        // of those in the latest report, ended since
+  double meanServiceMs = 400; // time that a request occupies a slot
+  double slowness = 1;        // observed / expected first token latency
   TimePoint downUntil;
   AdaptiveLimit concurrencyLimit{ 1 };
 
-  /** Requests there by now, estimated.
-   * \param aDaemons how many daemons send there; the others are taken to have
-   *   sent since the report what this one has. */
+  /** Estimates the present number of requests at the engine.
+   * \param aDaemons how many daemons send to it; each is assumed to have sent
+   *   as many requests since the report as this one */
   [[nodiscard]] double EstimatedLoad(double aDaemons) const;
 };
 
--- a/src/coord/Evidence.cpp
+++ b/src/coord/Evidence.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 void
-Fill(const google::protobuf::RepeatedField<std::uint64_t>& aFrom,
-     LatencyHistogram& aTo)
+CopyHistogram(const google::protobuf::RepeatedField<std::uint64_t>& aFrom,
+              LatencyHistogram& aTo)
 {
   const auto size =
     std::min(static_cast<std::size_t>(aFrom.size()), kLatencyBucketCount);
   std::copy_n(aFrom.begin(), size, aTo.begin());
 }
 
-/** Trailing empty buckets are not sent. */
+/** Omits the empty buckets at the end. */
 void
-Fill(const LatencyHistogram& aFrom,
-     google::protobuf::RepeatedField<std::uint64_t>& aTo)
+CopyHistogram(const LatencyHistogram& aFrom,
+              google::protobuf::RepeatedField<std::uint64_t>& aTo)
 {
   std::size_t used = kLatencyBucketCount;
   while (used > 0 && aFrom.at(used - 1) == 0) {
@@ -43,19 +43,19 @@
   return *this;
 }
 
-EvidenceTable::EvidenceTable(std::string aSelf)
-  : daemonId(std::move(aSelf))
+EvidenceTable::EvidenceTable(std::string aDaemonId)
+  : daemonId(std::move(aDaemonId))
 {
 }
 
 void
-EvidenceTable::Observe(Position aMove,
+EvidenceTable::Observe(Position aRollout,
                        const VersionId& aVersion,
                        const Stratum& aStratum,
                        const Observation& aObservation)
 {
   Tally& tally =
-    this->tallies[Key{ aMove, aVersion, aStratum, this->daemonId }];
+    this->tallies[Key{ aRollout, aVersion, aStratum, this->daemonId }];
   ++tally.requests;
   tally.errors += aObservation.error ? 1 : 0;
   if (aObservation.firstTokenMs >= 0) {
@@ -75,49 +75,50 @@
   Tally tally;
   tally.requests = aEvidence.requests();
   tally.errors = aEvidence.errors();
-  Fill(aEvidence.first_token(), tally.firstToken);
-  Fill(aEvidence.token_gap(), tally.tokenGap);
-  Tally& known =
+  CopyHistogram(aEvidence.first_token(), tally.firstToken);
+  CopyHistogram(aEvidence.token_gap(), tally.tokenGap);
+  Tally& stored =
     this->tallies[Key{ Position{ aEvidence.move() },
                        VersionId{ aEvidence.version() },
                        Stratum{ aEvidence.step(), aEvidence.route() },
                        aEvidence.daemon() }];
-  if (tally.requests > known.requests) {
-    known = tally;
+  if (tally.requests > stored.requests) {
+    stored = tally;
   }
 }
 
 std::vector<peer::Evidence>
-EvidenceTable::LocalEvidence(Position aMove) const
+EvidenceTable::LocalEvidence(Position aRollout) const
 {
-  std::vector<peer::Evidence> own;
-  for (auto entry = this->tallies.lower_bound(Key{ aMove, {}, {}, {} });
-       entry != this->tallies.end() && entry->first.rollout == aMove;
+  std::vector<peer::Evidence> reports;
+  for (auto entry = this->tallies.lower_bound(Key{ aRollout, {}, {}, {} });
+       entry != this->tallies.end() && entry->first.rollout == aRollout;
        ++entry) {
     if (entry->first.daemon != this->daemonId) {
       continue;
     }
     peer::Evidence evidence;
     evidence.set_daemon(this->daemonId);
-    evidence.set_move(aMove.value);
+    evidence.set_move(aRollout.value);
     evidence.set_version(entry->first.version.value);
     evidence.set_route(entry->first.stratum.route);
     evidence.set_step(entry->first.stratum.step);
     evidence.set_requests(entry->second.requests);
     evidence.set_errors(entry->second.errors);
-    Fill(entry->second.firstToken, *evidence.mutable_first_token());
-    Fill(entry->second.tokenGap, *evidence.mutable_token_gap());
-    own.push_back(std::move(evidence));
+    CopyHistogram(entry->second.firstToken, *evidence.mutable_first_token());
+    CopyHistogram(entry->second.tokenGap, *evidence.mutable_token_gap());
+    reports.push_back(std::move(evidence));
   }
-  return own;
+  return reports;
 }
 
 StratumTallies
-EvidenceTable::Sum(Position aMove, const VersionId& aVersion) const
+EvidenceTable::Sum(Position aRollout, const VersionId& aVersion) const
 {
   StratumTallies sum;
-  for (auto entry = this->tallies.lower_bound(Key{ aMove, aVersion, {}, {} });
-       entry != this->tallies.end() && entry->first.rollout == aMove &&
+  for (auto entry =
+         this->tallies.lower_bound(Key{ aRollout, aVersion, {}, {} });
+       entry != this->tallies.end() && entry->first.rollout == aRollout &&
        entry->first.version == aVersion;
        ++entry) {
     sum[entry->first.stratum] += entry->second;
@@ -126,10 +127,11 @@
 }
 
 void
-EvidenceTable::Erase(Position aMove)
+EvidenceTable::Erase(Position aRollout)
 {
-  std::erase_if(this->tallies,
-                [&](const auto& aEntry) { return aEntry.first.rollout == aMove; });
+  std::erase_if(this->tallies, [&](const auto& aEntry) {
+    return aEntry.first.rollout == aRollout;
+  });
 }
 
 } // namespace toucanshed
--- a/src/coord/Evidence.h
+++ b/src/coord/Evidence.h
@@ -1,6 +1,7 @@
 /** \file
- * What has been seen of two versions during a move, counted per daemon and
- * added up over all.
+ * Evidence about the two versions of a rollout: counts of requests, errors and
+ * latencies, which each daemon keeps for its own requests and which are added
+ * over all daemons.
  */
 #pragma once
 
@@ -14,7 +15,7 @@
 
 namespace toucanshed {
 
-/** Counts of one version on one route; they only grow. */
+/** Counts of a version in one stratum; they only grow. */
 struct Tally
 {
   std::uint64_t requests = 0;
@@ -25,7 +26,7 @@
   Tally& operator+=(const Tally& aOther);
 };
 
-/** One request's contribution. Latencies below zero were not observed. */
+/** The observation of one request. A negative latency was not observed. */
 struct Observation
 {
   bool error = false;
@@ -33,10 +34,11 @@
   double meanGapMs = -1;
 };
 
-/** Where requests are comparable: within one step of a move the shares stand
- * still, so old and new requests come at the same times. Over several steps
- * they do not: a peak during a later step would burden the new version, which
- * has most of its requests then. */
+/** A set of comparable requests: those of one route within one step of a
+ * rollout. Within a step the traffic shares are constant, so the requests of
+ * both versions are concurrent. Over several steps they are not: a load peak
+ * during a later step would count against the new version, which gets most of
+ * its requests then. */
 struct Stratum
 {
   std::uint32_t step = 0;
@@ -45,34 +47,40 @@
   auto operator<=>(const Stratum&) const = default;
 };
 
-/** Tallies of one version. */
+/** The tallies of one version. */
 using StratumTallies = std::map<Stratum, Tally>;
 
 /**
- * Each daemon counts its own requests and tells the sums; a later sum of the
- * same daemon replaces an earlier one, so repeated, late or crossed messages
- * change nothing.
+ * Each daemon counts its own requests and sends the totals to the others. A
+ * later total of a daemon replaces an earlier one, so repeated, late or
+ * reordered messages have no effect.
  *
  * Thread safety: none; the owner serialises.
  */
 class EvidenceTable
 {
 public:
-  explicit EvidenceTable(std::string aSelf);
+  explicit EvidenceTable(std::string aDaemonId);
 
-  void Observe(Position aMove,
+  /** Counts a request of this daemon.
+   * \param aRollout position of the rollout's order, or the revision of its
+   *   document */
+  void Observe(Position aRollout,
                const VersionId& aVersion,
                const Stratum& aStratum,
                const Observation& aObservation);
+  /** Stores the totals of another daemon if they are later than the known ones;
+   * ignores those of this daemon. */
   void Merge(const peer::Evidence& aEvidence);
 
-  /** This daemon's own counts about a move. */
-  [[nodiscard]] std::vector<peer::Evidence> LocalEvidence(Position aMove) const;
-  /** All daemons' counts about one version in a move. */
-  [[nodiscard]] StratumTallies Sum(Position aMove,
+  /** Returns this daemon's own counts of a rollout. */
+  [[nodiscard]] std::vector<peer::Evidence> LocalEvidence(
+    Position aRollout) const;
+  /** Returns the counts of all daemons of a version in a rollout. */
+  [[nodiscard]] StratumTallies Sum(Position aRollout,
                                    const VersionId& aVersion) const;
-  /** Forgets a move that has ended. */
-  void Erase(Position aMove);
+  /** Removes a rollout that has ended. */
+  void Erase(Position aRollout);
 
 private:
   struct Key
--- a/src/coord/FactSet.cpp
+++ b/src/coord/FactSet.cpp
@@ -8,9 +8,9 @@
 namespace toucanshed {
 
 namespace {
-/** A fact is sent this many times the logarithm of the number of daemons;
- * three is the usual factor at which epidemic spread reaches all of them with
- * very high probability, and the hash exchange mends the rest. */
+/** A fact is sent this many times the binary logarithm of the number of
+ * daemons. Three is the usual factor with which gossip reaches all of them with
+ * very high probability. The exchange of hashes covers the remaining cases. */
 constexpr std::uint32_t kSpreadFactor = 3;
 }
 
@@ -63,12 +63,12 @@
 }
 
 std::vector<FactEntry>
-FactSet::TakeForGossip(std::size_t aMembers)
+FactSet::TakeForGossip(std::size_t aDaemons)
 {
-  const auto most =
-    kSpreadFactor * static_cast<std::uint32_t>(std::bit_width(aMembers + 1));
+  const auto maxSends =
+    kSpreadFactor * static_cast<std::uint32_t>(std::bit_width(aDaemons + 1));
   std::vector<FactEntry> sent;
-  std::vector<std::string> again;
+  std::vector<std::string> pending;
   for (const std::string& key : this->pendingGossip) {
     const auto found = this->facts.find(key);
     if (found == this->facts.end()) {
@@ -78,11 +78,11 @@
       sent.push_back(FactEntry{ key, found->second.expires });
       ++found->second.sendCount;
     }
-    if (found->second.sendCount < most) {
-      again.push_back(key);
+    if (found->second.sendCount < maxSends) {
+      pending.push_back(key);
     }
   }
-  this->pendingGossip = std::move(again);
+  this->pendingGossip = std::move(pending);
   return sent;
 }
 
--- a/src/coord/FactSet.h
+++ b/src/coord/FactSet.h
@@ -1,6 +1,6 @@
 /** \file
- * Monotone facts that spread between daemons without the log: once stated, a
- * fact holds until it expires, and sets merge by union in any order.
+ * Monotone facts that daemons exchange without the log: once added, a fact is
+ * valid until it expires, and sets merge by union in any order.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace toucanshed {
 
-/** A fact is its key; the prefix says what kind it is. */
+/** A fact. It is identified by its key, whose prefix names its kind. */
 struct FactEntry
 {
   std::string key;
@@ -22,36 +22,40 @@
 };
 
 /**
- * Only facts that make the system more careful belong here: a version taken
- * back, an instance leaving, a request that crashed an engine. They need no
- * order, so a daemon may act on them the moment it hears of them.
+ * A set of facts. Only facts that make the system more cautious belong here: a
+ * version that was rolled back, an instance that is leaving, a request that
+ * crashed an engine. They require no order, so a daemon may act on a fact as
+ * soon as it receives it.
  *
  * Thread safety: none; the owner serialises.
  */
 class FactSet
 {
 public:
-  /** Adds a fact, or extends it. \return whether it is news. */
+  /** Adds a fact, or extends the expiry of a known one. An expired fact is
+   * ignored. \return whether it was added. */
   bool Add(FactEntry aFact, TimePoint aNow);
   [[nodiscard]] bool Contains(std::string_view aKey) const;
-  /** Facts whose keys begin with aPrefix, in key order. */
+  /** Returns the facts whose keys start with aPrefix, in key order. */
   [[nodiscard]] std::vector<FactEntry> WithPrefix(
     std::string_view aPrefix) const;
 
-  /** Facts to send along with the next message, each a bounded number of
-   * times. \param aMembers how many daemons there are. */
-  std::vector<FactEntry> TakeForGossip(std::size_t aMembers);
-  /** All facts, for a daemon whose hash differs. */
+  /** Returns the facts to send with the next message. Each fact is returned a
+   * bounded number of times. \param aDaemons number of daemons */
+  std::vector<FactEntry> TakeForGossip(std::size_t aDaemons);
+  /** Returns all facts, for a daemon whose KeysHash differs. */
   [[nodiscard]] std::vector<FactEntry> All() const;
-  /** The same for sets with the same keys, whatever their order. */
+  /** Returns a hash of the keys, independent of the order of insertion. */
   [[nodiscard]] std::uint64_t KeysHash() const { return this->keysHash; }
 
+  /** Removes the facts that have expired. */
   void Expire(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const { return this->facts.size(); }
 
-  /** Facts kept at the most; at the bound the one that expires first goes. */
+  /** Maximum number of facts. When it is reached, the fact that expires first
+   * is dropped. */
   static constexpr std::size_t kMaxFacts = 10000;
-  /** Facts in one message. */
+  /** Maximum number of facts in a message. */
   static constexpr std::size_t kMaxPerMessage = 20;
 
 private:
--- a/src/coord/HandoverTable.cpp
+++ b/src/coord/HandoverTable.cpp
@@ -7,9 +7,9 @@
 {
   const auto found = this->streams.find(aStream.request);
   if (found != this->streams.end()) {
-    const bool longer =
+    const bool isLonger =
       aStream.tokens.size() > found->second.stream.tokens.size();
-    if (longer) {
+    if (isLonger) {
       found->second.stream = std::move(aStream);
     }
     return;
--- a/src/coord/HandoverTable.h
+++ b/src/coord/HandoverTable.h
@@ -1,5 +1,5 @@
 /** \file
- * Streams that other daemons have handed over, until their callers come back.
+ * Streams that other daemons have handed over, until their callers reconnect.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace toucanshed {
 
-/** The tokens of a stream that its daemon could not finish. */
+/** The tokens so far of a stream that its daemon could not finish. */
 struct HandedOverStream
 {
   RequestId request;
@@ -21,18 +21,20 @@
 };
 
 /**
- * Nothing depends on an entry: without it the answer is generated again from
- * the prompt. So the table may forget, and does at its bound.
+ * No response depends on an entry: without it the response is generated again
+ * from the prompt. Therefore the table may drop streams: it ignores new ones at
+ * kMaxStreams and removes others after kRetention.
  *
  * Thread safety: none; the owner serialises.
  */
 class HandoverTable
 {
 public:
-  /** Keeps the longer of two accounts of the same stream. */
+  /** Adds a stream; of two copies of the same stream the longer one is kept. */
   void Add(HandedOverStream aStream, TimePoint aNow);
-  /** Null when it is not here. */
+  /** Returns null when the stream is not in the table. */
   [[nodiscard]] const HandedOverStream* Find(const RequestId& aRequest) const;
+  /** Removes the streams that were added kRetention ago or earlier. */
   void Expire(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const { return this->streams.size(); }
 
--- a/src/coord/LatencyBuckets.cpp
+++ b/src/coord/LatencyBuckets.cpp
@@ -39,20 +39,20 @@
 std::uint64_t
 CountAbove(const LatencyHistogram& aCounts, std::size_t aBucket)
 {
-  const auto from = aCounts.begin() + static_cast<std::ptrdiff_t>(aBucket) + 1;
-  return std::accumulate(from, aCounts.end(), std::uint64_t{ 0 });
+  const auto first = aCounts.begin() + static_cast<std::ptrdiff_t>(aBucket) + 1;
+  return std::accumulate(first, aCounts.end(), std::uint64_t{ 0 });
 }
 
 std::size_t
-QuantileBucket(const LatencyHistogram& aCounts, double aShare)
+QuantileBucket(const LatencyHistogram& aCounts, double aQuantile)
 {
-  const auto all =
+  const auto total =
     std::accumulate(aCounts.begin(), aCounts.end(), std::uint64_t{ 0 });
-  const double wanted = static_cast<double>(all) * aShare;
-  std::uint64_t seen = 0;
+  const double rank = static_cast<double>(total) * aQuantile;
+  std::uint64_t cumulative = 0;
   for (std::size_t i = 0; i < kLatencyBucketCount; ++i) {
-    seen += aCounts.at(i);
-    if (seen > 0 && static_cast<double>(seen) >= wanted) {
+    cumulative += aCounts.at(i);
+    if (cumulative > 0 && static_cast<double>(cumulative) >= rank) {
       return i;
     }
   }
--- a/src/coord/LatencyBuckets.h
+++ b/src/coord/LatencyBuckets.h
@@ -1,6 +1,6 @@
 /** \file
- * The fixed latency buckets in which evidence is counted, the same on every
- * daemon so that counts add up.
+ * The fixed latency buckets of evidence. They are the same on every daemon, so
+ * that the counts of all daemons can be added.
  */
 #pragma once
 
@@ -16,21 +16,24 @@
 
 using LatencyHistogram = std::array<std::uint64_t, kLatencyBucketCount>;
 
-/** Bucket of a latency; from 0.5 ms to 60 s in equal ratios of about 1.34. */
+/** Returns the bucket of a latency. The buckets cover 0.5 ms to 60 s; the upper
+ * edge of each is about 1.34 times its lower edge. Latencies outside count in
+ * the first or last bucket. */
 std::size_t
 BucketOf(double aMilliseconds);
 
-/** Upper edge of a bucket in milliseconds. */
+/** Returns the upper edge of a bucket in milliseconds. */
 double
 BucketUpperEdge(std::size_t aBucket);
 
-/** Observations in buckets above aBucket. */
+/** Returns the number of observations in the buckets above aBucket. */
 std::uint64_t
 CountAbove(const LatencyHistogram& aCounts, std::size_t aBucket);
 
-/** The bucket in which the given share (0..1) of the observations is reached;
- * the last one when there are none. */
+/** Returns the bucket that contains a quantile of the observations; the last
+ * bucket when there are none.
+ * \param aQuantile 0 to 1 */
 std::size_t
-QuantileBucket(const LatencyHistogram& aCounts, double aShare);
+QuantileBucket(const LatencyHistogram& aCounts, double aQuantile);
 
 } // namespace toucanshed
--- a/src/coord/ReclaimTracker.cpp
+++ b/src/coord/ReclaimTracker.cpp
@@ -8,13 +8,13 @@
                         unsigned aLeaving,
                         TimePoint aNow)
 {
-  ZoneState& domain = this->zones[aZone];
+  ZoneState& state = this->zones[aZone];
   const bool leaving = aStaying == 0 && aLeaving > 0;
-  const bool begins = leaving && !domain.leaving;
-  domain.leaving = leaving;
-  if (begins) {
-    domain.reclaimedAt = aNow;
-    domain.everReclaimed = true;
+  const bool hasStarted = leaving && !state.leaving;
+  state.leaving = leaving;
+  if (hasStarted) {
+    state.reclaimedAt = aNow;
+    state.everReclaimed = true;
   }
 }
 
@@ -22,10 +22,10 @@
 ReclaimTracker::CountWithin(Millis aWithin, TimePoint aNow) const
 {
   unsigned count = 0;
-  for (const auto& [zone, domain] : this->zones) {
-    const bool lately =
-      domain.everReclaimed && aNow - domain.reclaimedAt <= aWithin;
-    count += lately ? 1 : 0;
+  for (const auto& [zone, state] : this->zones) {
+    const bool isRecent =
+      state.everReclaimed && aNow - state.reclaimedAt <= aWithin;
+    count += isRecent ? 1 : 0;
   }
   return count;
 }
--- a/src/coord/ReclaimTracker.h
+++ b/src/coord/ReclaimTracker.h
@@ -1,5 +1,5 @@
 /** \file
- * How many failure domains may lose their reclaimable engines next.
+ * Estimates how many failure domains may lose their reclaimable engines next.
  */
 #pragma once
 
@@ -10,23 +10,27 @@
 namespace toucanshed {
 
 /**
- * Reclaims come in rows: where one failure domain has just lost its reclaimable
- * engines, others often follow within seconds, and none are to be had
- * meanwhile. As many as were reclaimed lately are taken to be at risk still.
+ * Reclaims are correlated: when one failure domain loses its reclaimable
+ * engines, others often follow within seconds, and meanwhile the platform has
+ * no reclaimable engines to offer. Therefore as many further failure domains as
+ * were reclaimed recently are assumed to be at risk.
  *
  * Thread safety: none; the owner serialises.
  */
 class ReclaimTracker
 {
 public:
-  /** Notes a failure domain's reclaimable engines. All of them leaving together
-   * is a reclaim; an order of ours leaves at least one. */
+  /** Records the reclaimable engines of a failure domain. If all of them are
+   * leaving, this is a reclaim: ScalePlanner's own orders leave at least one.
+   * \param aStaying engines that are not leaving
+   * \param aLeaving engines that are leaving */
   void Observe(const ZoneId& aZone,
                unsigned aStaying,
                unsigned aLeaving,
                TimePoint aNow);
-  /** Failure domains that were reclaimed within the last aWithin. Those whose
-   * engines have been replaced since need not be counted. */
+  /** Returns the number of failure domains that were reclaimed within the last
+   * aWithin. Pass the time that a replacement takes: earlier reclaims have been
+   * replaced and need not be counted. */
   [[nodiscard]] unsigned CountWithin(Millis aWithin, TimePoint aNow) const;
 
 private:
--- a/src/coord/RolloutOrder.h
+++ b/src/coord/RolloutOrder.h
@@ -1,5 +1,6 @@
 /** \file
- * An operator's order to move a service's traffic to another version.
+ * An operator's order of a timed rollout: to move the traffic of a service to
+ * another version.
  */
 #pragma once
 
@@ -7,7 +8,7 @@
 
 namespace toucanshed {
 
-/** Where a move stands, as operators are told. */
+/** The phase of a timed rollout, as reported to operators. */
 enum class RolloutPhase
 {
   eActive,
@@ -19,8 +20,8 @@
 {
   ServiceId service;
   VersionId target;
-  Millis duration{ 0 }; // to be completed or taken back by then
-  Position position;    // of its record; a later order replaces it
+  Millis duration{ 0 }; // until it has to be completed or rolled back
+  Position position;    // of its record; a later order supersedes it
 };
 
 } // namespace toucanshed
--- a/src/coord/RolloutPlanner.cpp
+++ b/src/coord/RolloutPlanner.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::int64_t kMsPerSecond = 1000;
-/** The steps before the soak use at the least this part of the time before
- * it, divided by this number, each. */
+/** Each step before the soak lasts at least the time before the soak, divided
+ * by this number. */
 constexpr std::int64_t kMinStepDivisor = std::int64_t{ 3 } * kLastRolloutStep;
 
 Millis
@@ -20,41 +20,41 @@
 } // namespace
 
 Millis
-MinStepDuration(const config::Move& aAsked)
+MinStepDuration(const config::Move& aSpec)
 {
   const Millis beforeSoak =
-    Seconds(aAsked.deadline_s()) - Seconds(aAsked.soak_s());
+    Seconds(aSpec.deadline_s()) - Seconds(aSpec.soak_s());
   return Millis{ beforeSoak.count() / kMinStepDivisor };
 }
 
 RolloutProposal
-PlanRollout(const RolloutPlanInput& aOutlook, TimePoint aNow)
+PlanRollout(const RolloutPlanInput& aInput, TimePoint aNow)
 {
-  if (aOutlook.finding.bad) {
-    return { RolloutAction::eRollBack, aOutlook.finding.reason };
+  if (aInput.finding.bad) {
+    return { RolloutAction::eRollBack, aInput.finding.reason };
   }
   const TimePoint deadline =
-    aOutlook.state.started + Seconds(aOutlook.spec.deadline_s());
-  const Millis inStep = aNow - aOutlook.stepStartedAt;
-  if (aOutlook.state.step == kLastRolloutStep) {
-    const bool soaked = !aOutlook.finding.doubtful &&
-                        inStep >= Seconds(aOutlook.spec.soak_s()) &&
-                        aOutlook.stepRequests >= aOutlook.spec.min_requests();
-    if (soaked) {
+    aInput.state.started + Seconds(aInput.spec.deadline_s());
+  const Millis timeInStep = aNow - aInput.stepStartedAt;
+  if (aInput.state.step == kLastRolloutStep) {
+    const bool hasSoaked = !aInput.finding.doubtful &&
+                           timeInStep >= Seconds(aInput.spec.soak_s()) &&
+                           aInput.stepRequests >= aInput.spec.min_requests();
+    if (hasSoaked) {
       return { RolloutAction::eDone, {} };
     }
   }
   if (aNow >= deadline) {
     return { RolloutAction::eRollBack,
-             "deadline at step " + std::to_string(aOutlook.state.step) +
-               " with " + std::to_string(aOutlook.stepRequests) + " of " +
-               std::to_string(aOutlook.spec.min_requests()) + " requests" };
+             "deadline at step " + std::to_string(aInput.state.step) +
+               " with " + std::to_string(aInput.stepRequests) + " of " +
+               std::to_string(aInput.spec.min_requests()) + " requests" };
   }
-  const bool ripe = !aOutlook.finding.doubtful &&
-                    aOutlook.state.step < kLastRolloutStep &&
-                    inStep >= MinStepDuration(aOutlook.spec) &&
-                    aOutlook.stepRequests >= aOutlook.spec.min_requests();
-  return { ripe ? RolloutAction::eAdvance : RolloutAction::eWait, {} };
+  const bool canAdvance = !aInput.finding.doubtful &&
+                          aInput.state.step < kLastRolloutStep &&
+                          timeInStep >= MinStepDuration(aInput.spec) &&
+                          aInput.stepRequests >= aInput.spec.min_requests();
+  return { canAdvance ? RolloutAction::eAdvance : RolloutAction::eWait, {} };
 }
 
 } // namespace toucanshed
--- a/src/coord/RolloutPlanner.h
+++ b/src/coord/RolloutPlanner.h
@@ -1,5 +1,5 @@
 /** \file
- * Decides what to propose next for a running move.
+ * Decides the next action of a running stepped rollout.
  */
 #pragma once
 
@@ -26,30 +26,31 @@
   std::string reason;
 };
 
-/** What the planner looks at. */
+/** The input of PlanRollout. */
 struct RolloutPlanInput
 {
   RolloutState state;
   config::Move spec;
-  TimePoint stepStartedAt;        // when this daemon folded the present step
-  std::uint64_t stepRequests = 0; // on the new version since then
+  TimePoint stepStartedAt;        // when this daemon applied the present step
+  std::uint64_t stepRequests = 0; // to the new version since then
   VersionVerdict finding;
 };
 
 /**
- * A step lasts until it has brought enough evidence, leaves no doubt of the
- * version, and no shorter than a
- * fixed part of the time there is, so that a fault that shows late shows
- * before the whole traffic has moved. A move that has not ended at its deadline
- * is taken back, and says how much evidence was missing.
+ * Proposes whether the rollout waits, advances, is rolled back or is done. A
+ * step lasts until it has enough requests, the version is not doubtful, and at
+ * least MinStepDuration has passed: a fault that appears late then still
+ * appears before all traffic has moved. A rollout that has not ended by its
+ * deadline is rolled back; its reason states how many requests were missing.
  *
  * Thread safety: pure function.
  */
 RolloutProposal
-PlanRollout(const RolloutPlanInput& aOutlook, TimePoint aNow);
+PlanRollout(const RolloutPlanInput& aInput, TimePoint aNow);
 
-/** The shortest time a step lasts. */
+/** Returns the minimum duration of a step: a fixed fraction of the time before
+ * the soak. Thread safety: pure function. */
 Millis
-MinStepDuration(const config::Move& aAsked);
+MinStepDuration(const config::Move& aSpec);
 
 } // namespace toucanshed
--- a/src/coord/RolloutState.h
+++ b/src/coord/RolloutState.h
@@ -1,5 +1,5 @@
 /** \file
- * Where a move of a service from one version to another stands.
+ * The state of a stepped rollout from one version of a service to another.
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace toucanshed {
 
-/** How a move stands or ended. */
+/** Whether a stepped rollout is running, or how it ended. */
 enum class RolloutStatus
 {
   eRunning,
@@ -20,8 +20,9 @@
   eSuperseded, // a newer document replaced it
 };
 
-/** One move, named by the revision of the document that asked for it, so that
- * an old word about the same version cannot stop a later move to it. */
+/** One rollout. It is identified by the revision of the document that requested
+ * it, so that an outdated report about the same version cannot stop a later
+ * rollout to it. */
 struct RolloutState
 {
   Position rollout;
@@ -34,10 +35,11 @@
   TimePoint started;
 };
 
-/** Percent of the traffic the new version has at a step. Step 0 is the
- * canary; the last leaves a twentieth to the old version while the new one
- * soaks, because a fault can only be told from a busy hour beside a version
- * that serves in the same hour.
+/** Returns the percentage of the traffic that the new version gets at a step.
+ * Step 0 is the canary. The last step leaves a twentieth to the old version
+ * while the new one soaks, because a fault can be distinguished from high load
+ * only by comparison with a version that serves at the same time.
+ * Precondition: aStep is at most kLastRolloutStep.
  * \param aCanaryPercent from the document, 1 to 10. */
 std::uint32_t
 NewVersionPercentAt(std::uint32_t aStep, std::uint32_t aCanaryPercent);
@@ -45,7 +47,7 @@
 /** Number of the last step. */
 constexpr std::uint32_t kLastRolloutStep = 4;
 
-/** "running", "done", "taken-back" or "overtaken". */
+/** Returns "running", "done", "taken-back" or "overtaken". */
 std::string
 ToText(RolloutStatus aStatus);
 
--- a/src/coord/Rollouts.cpp
+++ b/src/coord/Rollouts.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 double
-Count(Millis aTime)
+InMillis(Millis aTime)
 {
   return static_cast<double>(aTime.count());
 }
@@ -19,52 +19,52 @@
 void
 Rollouts::Start(const RolloutOrder& aOrder, TimePoint aNow)
 {
-  const auto known = this->rollouts.find(aOrder.service);
-  const bool older = known != this->rollouts.end() &&
-                     aOrder.position <= known->second.order.position;
-  if (!older) {
-    Rollout move;
-    move.order = aOrder;
-    move.started = aNow;
-    move.readySince = aNow;
-    this->rollouts[aOrder.service] = std::move(move);
+  const auto found = this->rollouts.find(aOrder.service);
+  const bool isStale = found != this->rollouts.end() &&
+                       aOrder.position <= found->second.order.position;
+  if (!isStale) {
+    Rollout rollout;
+    rollout.order = aOrder;
+    rollout.started = aNow;
+    rollout.readySince = aNow;
+    this->rollouts[aOrder.service] = std::move(rollout);
   }
 }
 
 void
 Rollouts::SetReadiness(const ServiceId& aService,
-                       const RolloutReadiness& aOutlook,
+                       const RolloutReadiness& aReadiness,
                        TimePoint aNow)
 {
-  const auto known = this->rollouts.find(aService);
-  if (known == this->rollouts.end()) {
+  const auto found = this->rollouts.find(aService);
+  if (found == this->rollouts.end()) {
     return;
   }
-  Rollout& move = known->second;
-  const bool did = move.CanServeAll();
-  move.readiness = aOutlook;
-  if (!did && move.CanServeAll()) {
-    move.readySince = aNow;
+  Rollout& rollout = found->second;
+  const bool couldServeAll = rollout.CanServeAll();
+  rollout.readiness = aReadiness;
+  if (!couldServeAll && rollout.CanServeAll()) {
+    rollout.readySince = aNow;
   }
 }
 
 void
-Rollouts::End(const ServiceId& aService, Position aOrder, RolloutPhase aStage)
+Rollouts::End(const ServiceId& aService, Position aOrder, RolloutPhase aPhase)
 {
-  const auto known = this->rollouts.find(aService);
-  const bool meant = known != this->rollouts.end() &&
-                     known->second.order.position == aOrder &&
-                     known->second.phase == RolloutPhase::eActive;
-  if (meant) {
-    known->second.phase = aStage;
+  const auto found = this->rollouts.find(aService);
+  const bool matches = found != this->rollouts.end() &&
+                       found->second.order.position == aOrder &&
+                       found->second.phase == RolloutPhase::eActive;
+  if (matches) {
+    found->second.phase = aPhase;
   }
 }
 
 const Rollout*
 Rollouts::Find(const ServiceId& aService) const
 {
-  const auto known = this->rollouts.find(aService);
-  return known == this->rollouts.end() ? nullptr : &known->second;
+  const auto found = this->rollouts.find(aService);
+  return found == this->rollouts.end() ? nullptr : &found->second;
 }
 
 std::vector<Rollout>
@@ -72,8 +72,8 @@
 {
   std::vector<Rollout> all;
   all.reserve(this->rollouts.size());
-  for (const auto& [service, move] : this->rollouts) {
-    all.push_back(move);
+  for (const auto& [service, rollout] : this->rollouts) {
+    all.push_back(rollout);
   }
   return all;
 }
@@ -82,85 +82,87 @@
 Rollouts::Active() const
 {
   std::vector<Rollout> active = this->All();
-  std::erase_if(active, [](const Rollout& aMove) {
-    return aMove.phase != RolloutPhase::eActive;
+  std::erase_if(active, [](const Rollout& aRollout) {
+    return aRollout.phase != RolloutPhase::eActive;
   });
   return active;
 }
 
 Millis
-Rollouts::CutoverDuration(const Rollout& aMove) const
+Rollouts::CutoverDuration(const Rollout& aRollout) const
 {
-  const double part = this->limits.trafficShare * kCutoverShare;
-  const auto moment = Millis(static_cast<std::int64_t>(
-    static_cast<double>(aMove.order.duration.count()) * part));
-  return std::max(moment, kMinCutover);
+  const double share = this->limits.trafficShare * kCutoverShare;
+  const auto duration = Millis(static_cast<std::int64_t>(
+    static_cast<double>(aRollout.order.duration.count()) * share));
+  return std::max(duration, kMinCutover);
 }
 
 TimePoint
-Rollouts::CutoverStart(const Rollout& aMove) const
+Rollouts::CutoverStart(const Rollout& aRollout) const
 {
-  return aMove.Deadline() - this->CutoverDuration(aMove);
+  return aRollout.Deadline() - this->CutoverDuration(aRollout);
 }
 
 TimePoint
-Rollouts::PlannedDecision(const Rollout& aMove) const
+Rollouts::PlannedDecision(const Rollout& aRollout) const
 {
-  const double emptying =
-    (1 - kRampUpShare) * Count(this->CutoverDuration(aMove));
-  return aMove.Deadline() - Millis(static_cast<std::int64_t>(emptying));
+  const double drain =
+    (1 - kRampUpShare) * InMillis(this->CutoverDuration(aRollout));
+  return aRollout.Deadline() - Millis(static_cast<std::int64_t>(drain));
 }
 
 TimePoint
-Rollouts::DecisionTime(const Rollout& aMove) const
+Rollouts::DecisionTime(const Rollout& aRollout) const
 {
-  if (!aMove.CanServeAll()) {
-    return aMove.Deadline() + kMaxWait;
+  if (!aRollout.CanServeAll()) {
+    return aRollout.Deadline() + kMaxWait;
   }
-  const TimePoint planned = this->PlannedDecision(aMove);
-  const bool bearsInTime = aMove.readySince <= planned;
-  return bearsInTime ? planned
-                     : aMove.readySince + kOverdueRampUp + kOverdueDrain;
+  const TimePoint planned = this->PlannedDecision(aRollout);
+  const bool isReadyInTime = aRollout.readySince <= planned;
+  return isReadyInTime ? planned
+                       : aRollout.readySince + kOverdueRampUp + kOverdueDrain;
 }
 
 double
-Rollouts::NewVersionShareAt(const Rollout& aMove, TimePoint aNow) const
+Rollouts::NewVersionShareAt(const Rollout& aRollout, TimePoint aNow) const
 {
   const double canary = this->limits.trafficShare * kCanaryShare;
-  const TimePoint begins = this->CutoverStart(aMove);
-  if (aNow < begins) {
+  const TimePoint cutoverStart = this->CutoverStart(aRollout);
+  if (aNow < cutoverStart) {
     return canary;
   }
-  if (aNow >= aMove.Deadline()) {
-    return std::max(canary, this->OverdueShareAt(aMove, aNow));
+  if (aNow >= aRollout.Deadline()) {
+    return std::max(canary, this->OverdueShareAt(aRollout, aNow));
   }
-  if (!aMove.CanServeAll()) {
+  if (!aRollout.CanServeAll()) {
     return canary;
   }
-  const double rising = kRampUpShare * Count(this->CutoverDuration(aMove));
-  const double risen = std::min(1.0, Count(aNow - begins) / rising);
-  return canary + (1 - canary) * risen;
+  const double rampUp =
+    kRampUpShare * InMillis(this->CutoverDuration(aRollout));
+  const double progress = std::min(1.0, InMillis(aNow - cutoverStart) / rampUp);
+  return canary + (1 - canary) * progress;
 }
 
 double
-Rollouts::OverdueShareAt(const Rollout& aMove, TimePoint aNow) const
+Rollouts::OverdueShareAt(const Rollout& aRollout, TimePoint aNow) const
 {
-  // A move that could have been completed in time waits for its record, without
-  // which the new version gets no more.
-  const bool unrecorded =
-    aMove.CanServeAll() && this->DecisionTime(aMove) < aMove.Deadline();
-  if (unrecorded || !aMove.readiness || aMove.readiness->doubtful) {
+  // A rollout that could have completed in time waits for the record of its
+  // decision. Until that exists, the new version gets no larger share.
+  const bool isUnrecorded = aRollout.CanServeAll() &&
+                            this->DecisionTime(aRollout) < aRollout.Deadline();
+  if (isUnrecorded || !aRollout.readiness || aRollout.readiness->doubtful) {
     return 0;
   }
-  const RolloutReadiness& outlook = *aMove.readiness;
-  const double engines = std::max(1.0, outlook.newEngines + outlook.oldEngines);
-  const double part = outlook.newEngines / engines;
-  if (!outlook.CanServeAll()) {
-    return part;
+  const RolloutReadiness& readiness = *aRollout.readiness;
+  const double engines =
+    std::max(1.0, readiness.newEngines + readiness.oldEngines);
+  const double share = readiness.newEngines / engines;
+  if (!readiness.CanServeAll()) {
+    return share;
   }
-  const double risen =
-    std::min(1.0, Count(aNow - aMove.readySince) / Count(kOverdueRampUp));
-  return part + (1 - part) * risen;
+  const double progress = std::min(
+    1.0, InMillis(aNow - aRollout.readySince) / InMillis(kOverdueRampUp));
+  return share + (1 - share) * progress;
 }
 
 bool
@@ -169,12 +171,12 @@
                  const AttemptId& aAttempt,
                  TimePoint aNow) const
 {
-  const Rollout* move = this->Find(aService);
-  if (move == nullptr) {
+  const Rollout* rollout = this->Find(aService);
+  if (rollout == nullptr) {
     return true;
   }
-  const bool isNew = aVersion == move->order.target;
-  switch (move->phase) {
+  const bool isNew = aVersion == rollout->order.target;
+  switch (rollout->phase) {
     case RolloutPhase::eCompleted:
       return isNew;
     case RolloutPhase::eRolledBack:
@@ -182,41 +184,44 @@
     case RolloutPhase::eActive:
       break;
   }
-  constexpr double kWhole = 10000;
-  const auto place = static_cast<double>(
-    CombineHashes(Hash64(aAttempt.value), move->order.position.value) % 10000);
-  const bool toNew = place < this->NewVersionShareAt(*move, aNow) * kWhole;
+  constexpr double kBuckets = 10000;
+  const auto bucket = static_cast<double>(
+    CombineHashes(Hash64(aAttempt.value), rollout->order.position.value) %
+    10000);
+  const bool toNew =
+    bucket < this->NewVersionShareAt(*rollout, aNow) * kBuckets;
   return toNew == isNew;
 }
 
 std::optional<RolloutPhase>
-Rollouts::Decide(const Rollout& aMove,
-                 const VersionVerdict& aFinding,
+Rollouts::Decide(const Rollout& aRollout,
+                 const VersionVerdict& aVerdict,
                  TimePoint aNow) const
 {
-  if (aFinding.bad) {
+  if (aVerdict.bad) {
     return RolloutPhase::eRolledBack;
   }
-  if (aNow >= this->CutoverStart(aMove) && aFinding.doubtful) {
+  if (aNow >= this->CutoverStart(aRollout) && aVerdict.doubtful) {
     return RolloutPhase::eRolledBack;
   }
-  // Nothing seen of it by the deadline means that it cannot be vouched for.
-  if (aNow >= this->PlannedDecision(aMove) && aFinding.requests == 0) {
+  // Without any observed request there is no evidence that the version works.
+  if (aNow >= this->PlannedDecision(aRollout) && aVerdict.requests == 0) {
     return RolloutPhase::eRolledBack;
   }
-  if (aNow < this->DecisionTime(aMove)) {
+  if (aNow < this->DecisionTime(aRollout)) {
     return std::nullopt;
   }
   return RolloutPhase::eCompleted;
 }
 
 bool
-Rollouts::IsWaitingForEngines(const Rollout& aMove,
-                              const VersionVerdict& aFinding,
+Rollouts::IsWaitingForEngines(const Rollout& aRollout,
+                              const VersionVerdict& aVerdict,
                               TimePoint aNow) const
 {
-  return aMove.phase == RolloutPhase::eActive && aNow >= aMove.Deadline() &&
-         !aMove.CanServeAll() && !this->Decide(aMove, aFinding, aNow);
+  return aRollout.phase == RolloutPhase::eActive &&
+         aNow >= aRollout.Deadline() && !aRollout.CanServeAll() &&
+         !this->Decide(aRollout, aVerdict, aNow);
 }
 
 } // namespace toucanshed
--- a/src/coord/Rollouts.h
+++ b/src/coord/Rollouts.h
@@ -1,6 +1,6 @@
 /** \file
- * Operators' orders to move services to other versions: how much traffic the
- * new version has at any moment, and when the move is decided.
+ * Timed rollouts, which operators order: which share of the traffic the new
+ * version gets at any time, and when the rollout is completed or rolled back.
  */
 #pragma once
 
@@ -13,32 +13,33 @@
 
 namespace toucanshed {
 
-/** What the engines of a service could bear once a move has ended, as one
- * daemon knows it. */
+/** Whether the engines of a service could serve its traffic after the end of a
+ * rollout, according to one daemon. */
 struct RolloutReadiness
 {
-  double newEngines = 0; // engines of the new version that may be used and stay
-  double oldEngines = 0; // the same of the old version
-  double requiredEngines = 0; // engines without which callers would be refused
-  bool doubtful = false;      // the evidence speaks against the new version
+  double newEngines = 0;      // of the new version, not leaving
+  double oldEngines = 0;      // of the old version, not leaving
+  double requiredEngines = 0; // with fewer, requests are rejected
+  bool doubtful = false;      // the new version may be bad
 
-  /** The new version can take all traffic. */
+  /** Whether the new version can serve all traffic. */
   [[nodiscard]] bool CanServeAll() const
   {
     return this->newEngines > 0 && this->newEngines >= this->requiredEngines;
   }
 };
 
-/** One order and how it stands. */
+/** An order and its state. */
 struct Rollout
 {
   RolloutOrder order;
   TimePoint started; // when this daemon read it
   RolloutPhase phase = RolloutPhase::eActive;
-  std::optional<RolloutReadiness> readiness; // nothing: not known yet
-  TimePoint readySince;                      // while the outlook says so
+  std::optional<RolloutReadiness> readiness; // nullopt: not known yet
+  TimePoint readySince; // when CanServeAll last became true
 
-  /** Whether the new version can take all traffic, as far as is known. */
+  /** Whether the new version can serve all traffic; assumed to be so while
+   * nothing is known. */
   [[nodiscard]] bool CanServeAll() const
   {
     return !this->readiness || this->readiness->CanServeAll();
@@ -49,45 +50,51 @@
   }
 };
 
-/** How much of a service's traffic a version that may be bad may have. */
+/** Limits the share of a service's traffic that reaches a new version, which
+ * may be bad. */
 struct ExposureLimits
 {
-  double trafficShare = 0.1; // from the order to its deadline
+  double trafficShare = 0.1; // mean from the order to its deadline
 };
 
 /**
- * Until its deadline a new version that turns out bad may have had a tenth of
- * the traffic, also one whose fault shows late. Therefore it has a small share
- * nearly all the time, and more only for a last moment that fits into the tenth
- * as well: whatever shows up before or after, the limit holds. In that moment
- * its share rises to the whole, so that its engines do not meet all callers at
- * once, and the old version empties, which stops as the move completes.
+ * The state of all timed rollouts. Until its deadline a bad version may get at
+ * most a tenth of the traffic, even if its fault appears late. Therefore the
+ * new version gets a small canary share for most of the time. It gets more only
+ * during a short cutover before the deadline, which fits into the tenth as
+ * well, so the limit holds whenever a fault appears. During the cutover the
+ * share of the new version ramps up to the whole, so that its engines do not
+ * get all callers at the same moment. Then the old version drains, as its
+ * engines are stopped when the rollout completes.
  *
- * The old engines stop at once when a move completes. While the new version's
- * could not bear the traffic alone, as when they have just been reclaimed, the
- * move waits past its deadline, and each version has the part of the traffic
- * that its engines are of both. It completes as soon as the new version can
- * bear all, and after kLongestWait in any case: an operator's order is late
- * then, but never dropped.
+ * The old engines stop immediately when a rollout completes. If the engines of
+ * the new version could not serve the traffic alone, for instance because they
+ * have just been reclaimed, the rollout waits past its deadline. Meanwhile each
+ * version gets a share of the traffic in proportion to its engines. The rollout
+ * completes as soon as the new version can serve all traffic, and after
+ * kMaxWait in any case: an operator's order may be late, but is never dropped.
  *
  * Thread safety: none; the owner serialises.
  */
 class Rollouts
 {
 public:
-  /** Part of the exposure limit that the canary uses. */
+  /** Fraction of the exposure limit that the canary share uses. */
   static constexpr double kCanaryShare = 0.45;
-  /** Part of it that the last moment uses. */
+  /** Fraction of the exposure limit that the cutover uses. */
   static constexpr double kCutoverShare = 0.4;
-  /** The least last moment: a decision takes a record and a status. */
+  /** Minimum duration of the cutover: within it a decision has to be recorded
+   * and the status written. */
   static constexpr Millis kMinCutover{ 400 };
-  /** Part of the last moment in which the share rises; the rest empties the old
-   * version. */
+  /** Fraction of the cutover in which the share ramps up; in the rest the old
+   * version drains. */
   static constexpr double kRampUpShare = 0.5;
-  /** The same after the deadline, to which the exposure limit applies. */
+  /** Duration of the ramp-up of an overdue rollout. It is fixed, as the
+   * exposure limit applies only until the deadline. */
   static constexpr Millis kOverdueRampUp{ 1500 };
+  /** Time in which the old version of an overdue rollout drains. */
   static constexpr Millis kOverdueDrain{ 500 };
-  /** After its deadline a move waits this long for engines at most. */
+  /** Maximum time that a rollout waits for engines after its deadline. */
   static constexpr Millis kMaxWait{ 30000 };
 
   explicit Rollouts(ExposureLimits aLimits)
@@ -95,51 +102,60 @@
   {
   }
 
-  /** Takes an order; one of a later record replaces it. */
+  /** Starts the rollout of an order, in place of one from an earlier record;
+   * ignores an order that is not later than the known one. */
   void Start(const RolloutOrder& aOrder, TimePoint aNow);
-  /** The order at a position was decided. */
-  void End(const ServiceId& aService, Position aOrder, RolloutPhase aStage);
+  /** Ends the rollout of the order at a position; no effect if it has ended or
+   * has been superseded. */
+  void End(const ServiceId& aService, Position aOrder, RolloutPhase aPhase);
 
-  /** Takes in what the engines could bear. */
+  /** Updates whether the engines could serve the traffic; no effect on a
+   * service without a rollout. */
   void SetReadiness(const ServiceId& aService,
-                    const RolloutReadiness& aOutlook,
+                    const RolloutReadiness& aReadiness,
                     TimePoint aNow);
 
+  /** Returns null when the service has no rollout. */
   [[nodiscard]] const Rollout* Find(const ServiceId& aService) const;
   [[nodiscard]] std::vector<Rollout> Active() const;
-  /** The newest order of each service, ended or not. */
+  /** Returns the latest rollout of each service, ended or not. */
   [[nodiscard]] std::vector<Rollout> All() const;
 
-  /** Whether a request may be sent to a version; the same for one attempt at
-   * every daemon. Versions that no order names may always be used. */
+  /** Whether an attempt may be sent to a version. All daemons select the same
+   * version for an attempt. A service without a rollout may use any version. */
   [[nodiscard]] bool MayUse(const ServiceId& aService,
                             const VersionId& aVersion,
                             const AttemptId& aAttempt,
                             TimePoint aNow) const;
 
-  /** What to decide now, if anything.
-   * \param aFinding of the evidence of all daemons */
+  /** Returns the phase in which the rollout should end now, or nullopt while it
+   * continues.
+   * \param aVerdict from the evidence of all daemons */
   [[nodiscard]] std::optional<RolloutPhase> Decide(
-    const Rollout& aMove,
-    const VersionVerdict& aFinding,
+    const Rollout& aRollout,
+    const VersionVerdict& aVerdict,
     TimePoint aNow) const;
-  /** Whether only too few engines keep the move from being completed. */
-  [[nodiscard]] bool IsWaitingForEngines(const Rollout& aMove,
-                                         const VersionVerdict& aFinding,
+  /** Whether the rollout is overdue only because the new version has too few
+   * engines. */
+  [[nodiscard]] bool IsWaitingForEngines(const Rollout& aRollout,
+                                         const VersionVerdict& aVerdict,
                                          TimePoint aNow) const;
 
 private:
-  /** Part of the requests that the new version has. */
-  [[nodiscard]] double NewVersionShareAt(const Rollout& aMove,
+  /** Returns the share of the requests that the new version gets. */
+  [[nodiscard]] double NewVersionShareAt(const Rollout& aRollout,
                                          TimePoint aNow) const;
-  [[nodiscard]] double OverdueShareAt(const Rollout& aMove,
+  /** The same after the deadline. */
+  [[nodiscard]] double OverdueShareAt(const Rollout& aRollout,
                                       TimePoint aNow) const;
-  [[nodiscard]] Millis CutoverDuration(const Rollout& aMove) const;
-  [[nodiscard]] TimePoint CutoverStart(const Rollout& aMove) const;
-  /** When the old version has been emptied, if all goes well. */
-  [[nodiscard]] TimePoint PlannedDecision(const Rollout& aMove) const;
-  /** When it has been, or is taken to be, with the engines there are. */
-  [[nodiscard]] TimePoint DecisionTime(const Rollout& aMove) const;
+  [[nodiscard]] Millis CutoverDuration(const Rollout& aRollout) const;
+  [[nodiscard]] TimePoint CutoverStart(const Rollout& aRollout) const;
+  /** Returns when the old version has drained if the rollout is in time. */
+  [[nodiscard]] TimePoint PlannedDecision(const Rollout& aRollout) const;
+  /** Returns when the rollout may complete with the present engines: when the
+   * old version has drained or has had its time for it, at the latest kMaxWait
+   * after the deadline. */
+  [[nodiscard]] TimePoint DecisionTime(const Rollout& aRollout) const;
 
   ExposureLimits limits;
   std::map<ServiceId, Rollout> rollouts;
--- a/src/coord/ScalePlanner.cpp
+++ b/src/coord/ScalePlanner.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-/** On-demand engines kept beside the reclaimable ones, as a part of the
- * engines that are needed: what still serves the most urgent requests if all
- * reclaimable engines go at once. */
+/** On-demand engines beside the reclaimable ones, for each required engine.
+ * They still serve the most urgent requests if all reclaimable engines leave at
+ * the same time. */
 constexpr double kOnDemandRatio = 0.25;
-/** Reclaimable engines for each needed one. With four failure domains this
- * leaves more than are needed when one is reclaimed, and with the on-demand
- * ones as many when two are. */
+/** Reclaimable engines for each required engine. With four failure domains this
+ * leaves more than are required when one is reclaimed, and, together with the
+ * on-demand ones, as many as are required when two are. */
 constexpr double kReclaimableRatio = 1.6;
-/** Engines of a new version that are kept, for each needed one: all traffic
- * comes to them at once, and demand may have risen until then. */
+/** Engines of a new version to keep, for each required engine: they take over
+ * all traffic at once, and demand may have risen by then. */
 constexpr double kNewVersionRatio = 1.25;
-/** From a reclaim's notice to the answer to an order that it leads to. */
+/** Time from a reclaim's notice to the response to the resulting order. */
 constexpr Millis kOrderLatency{ 1000 };
-/** An order is given again after this long if its engines have not come. */
+/** An order is repeated after this time if its engines have not appeared. */
 constexpr Millis kOrderRetryInterval{ 9000 };
 
 std::vector<ZoneId>
@@ -40,19 +40,20 @@
   return zones;
 }
 
-/** Spreads a number over zones, the first ones take the rest. */
+/** Spreads a number evenly over zones, at most aMaxPerZone for each; the first
+ * zones take the remainder. */
 std::map<ZoneId, unsigned>
 SpreadOverZones(unsigned aTotal,
                 const std::vector<ZoneId>& aZones,
-                unsigned aMost)
+                unsigned aMaxPerZone)
 {
-  std::map<ZoneId, unsigned> parts;
+  std::map<ZoneId, unsigned> counts;
   for (std::size_t i = 0; i < aZones.size(); ++i) {
     const auto zones = static_cast<unsigned>(aZones.size());
-    const unsigned rest = i < aTotal % zones ? 1 : 0;
-    parts[aZones[i]] = std::min(aTotal / zones + rest, aMost);
+    const unsigned remainder = i < aTotal % zones ? 1 : 0;
+    counts[aZones[i]] = std::min(aTotal / zones + remainder, aMaxPerZone);
   }
-  return parts;
+  return counts;
 }
 
 } // namespace
@@ -62,81 +63,84 @@
                           const EngineTraits& aTraits)
 {
   constexpr double kMillis = 1000;
-  const double reading =
+  const double prefillEngines =
     aDemand.promptTokensPerS / (aDemand.prefillTokensPerMs * kMillis);
-  const double places = aDemand.runningRequests / std::max(1U, aTraits.slots);
-  return RequiredEngines{ reading / kTargetPrefillUtilization,
-                          places / kTargetSlotUtilization };
+  const double slotEngines =
+    aDemand.runningRequests / std::max(1U, aTraits.slots);
+  return RequiredEngines{ prefillEngines / kTargetPrefillUtilization,
+                          slotEngines / kTargetSlotUtilization };
 }
 
 double
-ScalePlanner::LostToRateLimits(const std::vector<RequestRate>& aNamed,
-                               RequestRate aUsual)
+ScalePlanner::LostToRateLimits(const std::vector<RequestRate>& aReportedRates,
+                               RequestRate aUsualRate)
 {
   double lost = 0;
-  for (const RequestRate& named : aNamed) {
-    const bool less = named.perSecond < aUsual.perSecond;
-    lost += less ? 1 - named.perSecond / aUsual.perSecond : 0;
+  for (const RequestRate& reported : aReportedRates) {
+    const bool isBelowUsual = reported.perSecond < aUsualRate.perSecond;
+    lost += isBelowUsual ? 1 - reported.perSecond / aUsualRate.perSecond : 0;
   }
   return lost;
 }
 
 void
 ScalePlanner::CountEngine(const Backend& aBackend,
-                          const Rollout* aMove,
-                          EngineCounts& aZone)
+                          const Rollout* aRollout,
+                          EngineCounts& aCounts)
 {
-  const bool fresh =
-    aMove != nullptr && aBackend.entry.version == aMove->order.target;
-  const bool ended = aMove != nullptr && aMove->phase != RolloutPhase::eActive;
-  const bool stops =
-    ended && fresh != (aMove->phase == RolloutPhase::eCompleted);
-  if (stops) {
-    return; // it is stopped, whatever the list still says
+  const bool isNewVersion =
+    aRollout != nullptr && aBackend.entry.version == aRollout->order.target;
+  const bool hasEnded =
+    aRollout != nullptr && aRollout->phase != RolloutPhase::eActive;
+  const bool isStopped =
+    hasEnded && isNewVersion != (aRollout->phase == RolloutPhase::eCompleted);
+  if (isStopped) {
+    return; // it is stopped, even if the backend list still contains it
   }
   if (aBackend.leaving) {
-    aZone.leavingReclaimable += aBackend.entry.reclaimable ? 1 : 0;
+    aCounts.leavingReclaimable += aBackend.entry.reclaimable ? 1 : 0;
     return;
   }
-  const bool arrives = fresh && !ended;
+  const bool isArriving = isNewVersion && !hasEnded;
   if (aBackend.entry.reclaimable) {
-    ++(arrives ? aZone.newVersionReclaimable : aZone.reclaimable);
+    ++(isArriving ? aCounts.newVersionReclaimable : aCounts.reclaimable);
   } else {
-    ++(arrives ? aZone.newVersionOnDemand : aZone.onDemand);
+    ++(isArriving ? aCounts.newVersionOnDemand : aCounts.onDemand);
   }
 }
 
 ScalePlanner::ZoneCounts
 ScalePlanner::CountEngines(const ServiceId& aService,
                            const BackendTable& aBackends,
-                           const Rollout* aMove)
+                           const Rollout* aRollout)
 {
   ZoneCounts counts;
   for (const auto& [id, backend] : aBackends.All()) {
     if (backend.entry.service == aService) {
-      CountEngine(backend, aMove, counts[backend.entry.zone]);
+      CountEngine(backend, aRollout, counts[backend.entry.zone]);
     }
   }
   return counts;
 }
 
 std::map<ZoneId, unsigned>
-ScalePlanner::NewVersionToKeep(double aNeeded, const ZoneCounts& aPresent)
+ScalePlanner::NewVersionToKeep(double aRequired, const ZoneCounts& aPresent)
 {
-  unsigned arriving = 0;
+  unsigned newVersionEngines = 0;
   for (const auto& [zone, counts] : aPresent) {
-    arriving += counts.newVersionOnDemand;
+    newVersionEngines += counts.newVersionOnDemand;
   }
-  std::map<ZoneId, unsigned> kept;
-  if (arriving == 0) {
-    return kept;
+  std::map<ZoneId, unsigned> toKeep;
+  if (newVersionEngines == 0) {
+    return toKeep;
   }
-  const double part = std::min(1.0, kNewVersionRatio * aNeeded / arriving);
+  const double fraction =
+    std::min(1.0, kNewVersionRatio * aRequired / newVersionEngines);
   for (const auto& [zone, counts] : aPresent) {
-    kept[zone] =
-      static_cast<unsigned>(std::ceil(part * counts.newVersionOnDemand));
+    toKeep[zone] =
+      static_cast<unsigned>(std::ceil(fraction * counts.newVersionOnDemand));
   }
-  return kept;
+  return toKeep;
 }
 
 void
@@ -147,14 +151,14 @@
                             std::vector<GroupTarget>& aOrders)
 {
   GroupState& state = this->groups[aGroup];
-  const bool pausing = aGroup.reclaimable && aDesired > aPresent &&
-                       this->services[aGroup.service].refusedUntil > aNow;
-  if (pausing) {
+  const bool isBackingOff = aGroup.reclaimable && aDesired > aPresent &&
+                            this->services[aGroup.service].refusedUntil > aNow;
+  if (isBackingOff) {
     return;
   }
-  const bool standing = state.ordered && *state.ordered == aDesired;
-  const bool waiting = aNow - state.orderedAt < kOrderRetryInterval;
-  if (standing && (aPresent == aDesired || waiting)) {
+  const bool isOrdered = state.ordered && *state.ordered == aDesired;
+  const bool isPending = aNow - state.orderedAt < kOrderRetryInterval;
+  if (isOrdered && (aPresent == aDesired || isPending)) {
     return;
   }
   if (!state.ordered && aPresent == aDesired) {
@@ -172,8 +176,8 @@
   if (state.firstSeen.ms == 0) {
     state.firstSeen = aNow;
   }
-  const bool more = !state.hasOrders && aPresent > state.initialEngines;
-  if (more) {
+  const bool hasGrown = !state.hasOrders && aPresent > state.initialEngines;
+  if (hasGrown) {
     state.initialEngines = aPresent;
     state.lastGrowthAt = aNow;
   }
@@ -182,25 +186,26 @@
 
 bool
 ScalePlanner::UpdateNewVersion(const ServiceId& aService,
-                               const Rollout* aMove,
+                               const Rollout* aRollout,
                                const ZoneCounts& aPresent,
                                TimePoint aNow)
 {
-  if (aMove == nullptr || aMove->phase != RolloutPhase::eActive) {
+  if (aRollout == nullptr || aRollout->phase != RolloutPhase::eActive) {
     return false;
   }
   ServiceState& state = this->services[aService];
-  if (state.rolloutPosition != aMove->order.position) {
-    state.rolloutPosition = aMove->order.position;
+  if (state.rolloutPosition != aRollout->order.position) {
+    state.rolloutPosition = aRollout->order.position;
     state.maxNewVersion = 0;
     state.newVersionGrowthAt = aNow;
   }
-  unsigned arriving = 0;
+  unsigned newVersionEngines = 0;
   for (const auto& [zone, counts] : aPresent) {
-    arriving += counts.newVersionOnDemand + counts.newVersionReclaimable;
+    newVersionEngines +=
+      counts.newVersionOnDemand + counts.newVersionReclaimable;
   }
-  if (arriving > state.maxNewVersion) {
-    state.maxNewVersion = arriving;
+  if (newVersionEngines > state.maxNewVersion) {
+    state.maxNewVersion = newVersionEngines;
     state.newVersionGrowthAt = aNow;
   }
   return aNow - state.newVersionGrowthAt < kDiscoveryTime;
@@ -208,14 +213,16 @@
 
 double
 ScalePlanner::RequiredNow(const ServiceSpec& aService,
-                          double aNeeded,
+                          double aRequired,
                           TimePoint aNow)
 {
-  constexpr double kLeast = 2;
+  constexpr double kMinEngines = 2;
   ServiceState& state = this->services[aService.id];
-  const bool fresh = aNow - state.firstSeen < kInitialPeriod;
-  const double first = fresh ? kInitialShare * state.initialEngines : 0;
-  return std::max({ aNeeded, first, kLeast }) + state.lostEngines;
+  const bool isInitial = aNow - state.firstSeen < kInitialPeriod;
+  const double initialRequired =
+    isInitial ? kInitialShare * state.initialEngines : 0;
+  return std::max({ aRequired, initialRequired, kMinEngines }) +
+         state.lostEngines;
 }
 
 void
@@ -223,54 +230,57 @@
                              const ZoneCounts& aPresent,
                              TimePoint aNow)
 {
-  ReclaimTracker& reclaims = this->services[aService].reclaimTracker;
+  ReclaimTracker& tracker = this->services[aService].reclaimTracker;
   for (const auto& [zone, counts] : aPresent) {
-    reclaims.Observe(zone, counts.reclaimable, counts.leavingReclaimable, aNow);
+    tracker.Observe(zone, counts.reclaimable, counts.leavingReclaimable, aNow);
   }
 }
 
 double
-ScalePlanner::OnDemandForReclaims(double aNeeded,
+ScalePlanner::OnDemandForReclaims(double aRequired,
                                   unsigned aReclaims,
                                   const ZoneCounts& aPresent)
 {
   if (aReclaims == 0) {
     return 0;
   }
-  std::vector<unsigned> domains;
+  std::vector<unsigned> reclaimableByZone;
   for (const auto& [zone, counts] : aPresent) {
-    domains.push_back(counts.reclaimable);
+    reclaimableByZone.push_back(counts.reclaimable);
   }
-  std::sort(domains.begin(), domains.end());
-  const std::size_t safe =
-    domains.size() > aReclaims ? domains.size() - aReclaims : 0;
-  // The smallest are taken to stay: the loss of the largest is to be borne.
-  const double left = std::accumulate(
-    domains.begin(), domains.begin() + static_cast<std::ptrdiff_t>(safe), 0.0);
-  return kSufficientShare * aNeeded - left;
+  std::sort(reclaimableByZone.begin(), reclaimableByZone.end());
+  const std::size_t remainingZones = reclaimableByZone.size() > aReclaims
+                                       ? reclaimableByZone.size() - aReclaims
+                                       : 0;
+  // Assume that the zones with the most reclaimable engines are reclaimed.
+  const double remaining = std::accumulate(
+    reclaimableByZone.begin(),
+    reclaimableByZone.begin() + static_cast<std::ptrdiff_t>(remainingZones),
+    0.0);
+  return kSufficientShare * aRequired - remaining;
 }
 
 void
 ScalePlanner::Observe(const ServiceId& aService,
                       const BackendTable& aBackends,
-                      const Rollout* aMove,
+                      const Rollout* aRollout,
                       TimePoint aNow)
 {
   unsigned present = 0;
-  const ZoneCounts zones = CountEngines(aService, aBackends, aMove);
+  const ZoneCounts zones = CountEngines(aService, aBackends, aRollout);
   for (const auto& [zone, counts] : zones) {
     present += counts.reclaimable + counts.onDemand;
   }
   this->UpdateReclaims(aService, zones, aNow);
   this->UpdateDiscovery(aService, present, aNow);
-  this->UpdateNewVersion(aService, aMove, zones, aNow);
+  this->UpdateNewVersion(aService, aRollout, zones, aNow);
 }
 
 std::vector<GroupTarget>
 ScalePlanner::Plan(const ServiceSpec& aService,
-                   double aNeeded,
+                   double aRequired,
                    const BackendTable& aBackends,
-                   const Rollout* aMove,
+                   const Rollout* aRollout,
                    TimePoint aNow)
 {
   std::vector<GroupTarget> orders;
@@ -279,66 +289,69 @@
   if (zones.empty()) {
     return orders;
   }
-  const ZoneCounts present = CountEngines(aService.id, aBackends, aMove);
+  const ZoneCounts presentByZone =
+    CountEngines(aService.id, aBackends, aRollout);
   unsigned presentReclaimable = 0;
   unsigned presentAll = 0;
-  for (const auto& [zone, counts] : present) {
+  for (const auto& [zone, counts] : presentByZone) {
     presentReclaimable += counts.reclaimable;
     presentAll += counts.reclaimable + counts.onDemand;
   }
   if (this->UpdateDiscovery(aService.id, presentAll, aNow)) {
     return orders;
   }
-  const double needed = this->RequiredNow(aService, aNeeded, aNow);
-  const auto reclaimable = static_cast<unsigned>(std::max(
-    std::ceil(needed * kReclaimableRatio), static_cast<double>(zones.size())));
-  auto onDemand = static_cast<unsigned>(std::ceil(needed * kOnDemandRatio));
-  // Until the reclaimable ones are there, what is missing of the needed
-  // engines stays on demand.
+  const double required = this->RequiredNow(aService, aRequired, aNow);
+  const auto reclaimable =
+    static_cast<unsigned>(std::max(std::ceil(required * kReclaimableRatio),
+                                   static_cast<double>(zones.size())));
+  auto onDemand = static_cast<unsigned>(std::ceil(required * kOnDemandRatio));
+  // On-demand engines make up for required engines that are missing, until
+  // enough reclaimable ones have started.
   const auto missing = static_cast<unsigned>(
-    std::max(0.0, std::ceil(needed - presentReclaimable - onDemand)));
+    std::max(0.0, std::ceil(required - presentReclaimable - onDemand)));
   onDemand += missing;
-  this->UpdateReclaims(aService.id, present, aNow);
-  // What is ordered at a reclaim has come after that long; reclaims that are
-  // further apart are each made good before the next.
-  const Millis replacedWithin = bounds.bootTime + kOrderLatency;
-  const unsigned reclaims =
-    this->services[aService.id].reclaimTracker.CountWithin(replacedWithin,
+  this->UpdateReclaims(aService.id, presentByZone, aNow);
+  // Engines that are ordered at a reclaim have started after this time. If
+  // reclaims are further apart, each loss is replaced before the next.
+  const Millis replacementTime = bounds.bootTime + kOrderLatency;
+  const unsigned recentReclaims =
+    this->services[aService.id].reclaimTracker.CountWithin(replacementTime,
                                                            aNow);
-  const double atRisk = OnDemandForReclaims(needed, reclaims, present);
-  onDemand =
-    std::max(onDemand, static_cast<unsigned>(std::max(0.0, std::ceil(atRisk))));
-  const auto wantedReclaimable =
+  const double forReclaims =
+    OnDemandForReclaims(required, recentReclaims, presentByZone);
+  onDemand = std::max(
+    onDemand, static_cast<unsigned>(std::max(0.0, std::ceil(forReclaims))));
+  const auto desiredReclaimable =
     SpreadOverZones(reclaimable, zones, bounds.maxEngines - 1);
-  const auto wantedOnDemand =
+  const auto desiredOnDemand =
     SpreadOverZones(onDemand, zones, std::max(1U, bounds.maxEngines / 2));
-  auto keptArriving = NewVersionToKeep(needed, present);
-  const bool arriving =
-    this->UpdateNewVersion(aService.id, aMove, present, aNow);
+  auto newVersionToKeep = NewVersionToKeep(required, presentByZone);
+  const bool moreMayAppear =
+    this->UpdateNewVersion(aService.id, aRollout, presentByZone, aNow);
   for (const ZoneId& zone : zones) {
-    const auto found = present.find(zone);
+    const auto found = presentByZone.find(zone);
     const EngineCounts counts =
-      found == present.end() ? EngineCounts{} : found->second;
-    const EngineGroup cheap{ aService.id, zone, true };
-    // The new version's engines count for what is ordered in a group.
-    this->OrderIfNeeded(cheap,
-                        wantedReclaimable.at(zone) +
+      found == presentByZone.end() ? EngineCounts{} : found->second;
+    const EngineGroup reclaimableGroup{ aService.id, zone, true };
+    // The size of a group includes its engines of the new version.
+    this->OrderIfNeeded(reclaimableGroup,
+                        desiredReclaimable.at(zone) +
                           counts.newVersionReclaimable,
                         counts.reclaimable + counts.newVersionReclaimable,
                         aNow,
                         orders);
-    const EngineGroup steady{ aService.id, zone, false };
-    const unsigned desired = wantedOnDemand.at(zone);
-    const bool shrinks = desired < counts.onDemand;
-    const bool enough =
-      presentAll - (shrinks ? counts.onDemand - desired : 0) >= needed;
-    if (!arriving && (!shrinks || enough)) {
-      this->OrderIfNeeded(steady,
-                          desired + keptArriving[zone],
+    const EngineGroup onDemandGroup{ aService.id, zone, false };
+    const unsigned desired = desiredOnDemand.at(zone);
+    const bool isShrinking = desired < counts.onDemand;
+    const bool leavesEnough =
+      presentAll - (isShrinking ? counts.onDemand - desired : 0) >= required;
+    if (!moreMayAppear && (!isShrinking || leavesEnough)) {
+      this->OrderIfNeeded(onDemandGroup,
+                          desired + newVersionToKeep[zone],
                           counts.onDemand + counts.newVersionOnDemand,
                           aNow,
                           orders);
-      presentAll -= shrinks ? counts.onDemand - desired : 0;
+      presentAll -= isShrinking ? counts.onDemand - desired : 0;
     }
   }
   return orders;
--- a/src/coord/ScalePlanner.h
+++ b/src/coord/ScalePlanner.h
@@ -34,20 +34,21 @@
   unsigned desired = 0;
 };
 
-/** What a service's engines have to do now, all daemons together. */
+/** The present load on a service's engines, summed over all daemons. */
 struct ServiceDemand
 {
-  double promptTokensPerS = 0;    // to be read
-  double runningRequests = 0;     // requests at the engines
-  double prefillTokensPerMs = 40; // that an engine reads
+  double promptTokensPerS = 0;    // prompt tokens that need prefill
+  double runningRequests = 0;     // requests in flight at the engines
+  double prefillTokensPerMs = 40; // prefill speed of one engine
 };
 
-/** Engines that a demand needs, for each of what it takes of them. */
+/** Engines that a demand requires, for each resource of an engine. */
 struct RequiredEngines
 {
-  double forPrefill = 0; // of prompts
-  /** Of places for what runs. Where engines are missing, requests pile up in
-   * them, and this grows beyond what the demand would need otherwise. */
+  double forPrefill = 0; // for the prefill of prompts
+  /** For the slots of requests in flight. When there are too few engines,
+   * requests accumulate in their slots, and this value exceeds what the same
+   * demand requires of enough engines. */
   double forSlots = 0;
 
   [[nodiscard]] double Max() const
@@ -57,90 +58,98 @@
 };
 
 /**
- * Reclaimable engines cost a fraction of on-demand ones, but all of a failure
- * domain go at once, and for a while there may be none to be had anywhere.
- * Therefore the work is borne by reclaimable engines, spread over all failure
- * domains so that one's loss leaves enough, beside a few on-demand engines in
- * the cheapest one. On-demand engines are ordered beyond that only for as long
- * as reclaimable ones are refused and too few are left, and while further
- * failure domains may be reclaimed: an engine that is ordered when the last of
- * them goes comes seconds too late.
+ * Plans the engines of each service. Reclaimable engines cost a fraction of
+ * on-demand ones. However, the platform reclaims all of a failure domain at the
+ * same time, and for a while may have none to offer in any failure domain.
+ * Therefore reclaimable engines serve most of the load. They are spread over
+ * all failure domains, so that enough are left when one is reclaimed. A few
+ * on-demand engines run beside them, in the cheapest failure domains.
  *
- * While a move to another version runs, its engines stand beside the old ones
- * and are to bear all traffic at its end. Engines that are ordered have the old
- * version until then, so those of the new one that are given back cannot be had
- * again in time: as many as are needed are kept.
+ * More on-demand engines are ordered in two cases only: while reclaimable ones
+ * are refused and too few are left, and while further failure domains may be
+ * reclaimed. The latter are ordered in advance, because an engine that is
+ * ordered when the last failure domain is reclaimed starts seconds too late.
+ *
+ * During a rollout, engines of the new version run beside the old ones and have
+ * to serve all traffic at its end. Engines ordered during the rollout still get
+ * the old version. A new-version engine that is released can therefore not be
+ * replaced in time, so as many of them as are required are kept.
  *
  * Thread safety: none; the owner serialises.
  */
 class ScalePlanner
 {
 public:
-  /** Part of an engine's reading time that may be planned for. Prompts arrive
-   * in clumps; above about half, the first token of short requests waits behind
-   * long ones. */
+  /** Planned prefill utilization of an engine. Prompts arrive in bursts; above
+   * about half, the first tokens of short requests wait for the prefill of long
+   * prompts. */
   static constexpr double kTargetPrefillUtilization = 0.45;
-  /** Part of an engine's places that may be planned for: each request beside
-   * others slows all of them down. */
+  /** Planned slot utilization of an engine. Requests that run at the same time
+   * slow each other down. */
   static constexpr double kTargetSlotUtilization = 0.3;
-  /** Part of the needed engines that suffices for some seconds: they are needed
-   * so that prompts rarely meet, and bear more while these wait for each other.
-   */
+  /** Share of the required engines that suffices for some seconds. The required
+   * number is such that prompts rarely wait for each other; fewer engines serve
+   * the same load if prompts wait. */
   static constexpr double kSufficientShare = 0.7;
-  /** Time over which demand is remembered at its highest, so that a wave's
-   * trough does not drain engines that its crest needs. */
+  /** Window over which the peak demand counts, so that a short drop between two
+   * peaks does not drain engines that the next peak requires. */
   static constexpr Millis kDemandWindow{ 30000 };
-  /** After a refusal none of its kind is asked for before: there are none to
-   * be had in any failure domain then, and each call costs. */
+  /** Time after a refusal in which no reclaimable engine is ordered: a refusal
+   * means that no failure domain has any, and each call to the platform has a
+   * cost. */
   static constexpr Millis kRefusalBackoff{ 2000 };
-  /** Of the engines that a service had when it was first seen, so many are
-   * needed until its demand has been seen for a while: an operator has sized
-   * it for a peak. */
+  /** Share of a service's initial engines that counts as required for
+   * kInitialPeriod, until its demand is known: the operator has sized the
+   * service for a peak. */
   static constexpr double kInitialShare = 0.55;
   static constexpr Millis kInitialPeriod{ 25000 };
-  /** Nothing is ordered before a service's engines have ceased to appear in the
-   * list for this long: heartbeats are up to two seconds apart, and a plan made
-   * from the first few would give back engines that the traffic needs. The same
-   * holds for on-demand engines while those of a new version appear. */
+  /** Nothing is ordered until no further engine of a service has appeared in
+   * the backend list for this long. Engines renew their entries up to two
+   * seconds apart, so a plan based on the first few would release engines that
+   * the traffic requires. The same applies to on-demand engines while engines
+   * of a new version appear. */
   static constexpr Millis kDiscoveryTime{ 2500 };
 
-  /** Engines that bear the demand in calm. */
+  /** Engines that serve the demand at the planned utilization. */
   [[nodiscard]] static RequiredEngines RequiredFor(const ServiceDemand& aDemand,
                                                    const EngineTraits& aTraits);
 
-  /** Engines whose work others must do, as they are in need and take less than
-   * their part of the requests.
-   * \param aNamed the rates that engines in need have named
-   * \param aUsual what each engine gets of the requests when none is in need */
+  /** Number of engines to add because rate-limited engines take less than their
+   * fair share of the requests.
+   * \param aReportedRates the rates that the rate-limited engines report
+   * \param aUsualRate of one engine's requests when none is rate-limited */
   [[nodiscard]] static double LostToRateLimits(
-    const std::vector<RequestRate>& aNamed,
-    RequestRate aUsual);
+    const std::vector<RequestRate>& aReportedRates,
+    RequestRate aUsualRate);
 
-  /** Sets how many engines the service must have beyond those that it needs, in
-   * place of engines in need; not remembered, as these recover. */
+  /** Sets how many engines the service requires beyond its demand, to replace
+   * the lost share of rate-limited engines. It is no part of the peak demand,
+   * as these engines recover. */
   void SetLostEngines(const ServiceId& aService, double aLost)
   {
     this->services[aService].lostEngines = aLost;
   }
 
-  /** Notes which engines a service has, also while another daemon orders them,
-   * so that one that takes over knows at once whether more may appear.
-   * \param aMove of the service, the newest; null when there is none */
+  /** Records which engines a service has. Every daemon does so, also while
+   * another one is the duty holder, so that the next duty holder knows at once
+   * whether more engines may appear.
+   * \param aRollout the service's latest rollout; null when there is none */
   void Observe(const ServiceId& aService,
                const BackendTable& aBackends,
-               const Rollout* aMove,
+               const Rollout* aRollout,
                TimePoint aNow);
-  /** The orders that differ from what was ordered last.
-   * \param aNeeded by NeedOf, the highest lately
-   * \param aMove as for Watch */
+  /** Returns the orders that differ from the latest ones, and those to repeat.
+   * Precondition: aService has a scale.
+   * \param aRequired the peak of RequiredFor within kDemandWindow
+   * \param aRollout as for Observe */
   std::vector<GroupTarget> Plan(const ServiceSpec& aService,
-                                double aNeeded,
+                                double aRequired,
                                 const BackendTable& aBackends,
-                                const Rollout* aMove,
+                                const Rollout* aRollout,
                                 TimePoint aNow);
-  /** The order was accepted. */
+  /** Records that the platform accepted the order. */
   void RecordAccepted(const GroupTarget& aOrder, TimePoint aNow);
-  /** There are none to be had at the moment. */
+  /** Records that the platform has no such engines at the moment. */
   void RecordRefused(const GroupTarget& aOrder, TimePoint aNow);
 
 private:
@@ -149,26 +158,27 @@
     std::optional<unsigned> ordered;
     TimePoint orderedAt;
   };
-  /** What is known of a service as a whole. */
+  /** State of a service over all failure domains. */
   struct ServiceState
   {
-    unsigned initialEngines = 0; // the most seen before anything was ordered
+    unsigned initialEngines = 0; // maximum before the first order
     TimePoint firstSeen;
-    TimePoint lastGrowthAt; // more engines were seen than before
+    TimePoint lastGrowthAt; // when initialEngines last grew
     bool hasOrders = false;
-    double lostEngines = 0; // engines that others must stand in for
-    TimePoint refusedUntil; // reclaimable ones
-    std::optional<Position> rolloutPosition; // the newest order to move it
-    unsigned maxNewVersion = 0;   // engines of its new version, seen at once
-    TimePoint newVersionGrowthAt; // the order or more of them were seen
+    double lostEngines = 0; // to replace, of rate-limited engines
+    TimePoint refusedUntil; // no reclaimable engine is ordered before
+    std::optional<Position> rolloutPosition; // order of the latest rollout
+    unsigned maxNewVersion = 0;   // maximum of its new-version engines
+    TimePoint newVersionGrowthAt; // start, or when maxNewVersion last grew
     ReclaimTracker reclaimTracker;
   };
   struct EngineCounts
   {
     unsigned onDemand = 0;
     unsigned reclaimable = 0;
-    unsigned leavingReclaimable = 0; // reclaimable ones that are leaving
-    /** Of a new version, which a running move may yet take back. */
+    unsigned leavingReclaimable = 0;
+    /** Engines of a new version whose rollout is active and may still be rolled
+     * back. */
     unsigned newVersionOnDemand = 0;
     unsigned newVersionReclaimable = 0;
   };
@@ -176,17 +186,18 @@
   using ZoneCounts = std::map<ZoneId, EngineCounts>;
   static ZoneCounts CountEngines(const ServiceId& aService,
                                  const BackendTable& aBackends,
-                                 const Rollout* aMove);
+                                 const Rollout* aRollout);
   static void CountEngine(const Backend& aBackend,
-                          const Rollout* aMove,
-                          EngineCounts& aZone);
-  /** On-demand engines of the new version to keep in each failure domain. */
+                          const Rollout* aRollout,
+                          EngineCounts& aCounts);
+  /** Returns the on-demand engines of the new version to keep in each failure
+   * domain. */
   static std::map<ZoneId, unsigned> NewVersionToKeep(
-    double aNeeded,
+    double aRequired,
     const ZoneCounts& aPresent);
-  /** On-demand engines that a service must have lest too few engines are left
-   * if as many failure domains are reclaimed again as were lately. */
-  static double OnDemandForReclaims(double aNeeded,
+  /** Returns the on-demand engines that a service requires so that enough
+   * engines are left if aReclaims further failure domains are reclaimed. */
+  static double OnDemandForReclaims(double aRequired,
                                     unsigned aReclaims,
                                     const ZoneCounts& aPresent);
   void OrderIfNeeded(const EngineGroup& aGroup,
@@ -198,17 +209,19 @@
   void UpdateReclaims(const ServiceId& aService,
                       const ZoneCounts& aPresent,
                       TimePoint aNow);
-  /** Notes how many engines there are. \return whether more may appear yet. */
+  /** Records how many engines there are.
+   * \return whether more may still appear. */
   bool UpdateDiscovery(const ServiceId& aService,
                        unsigned aPresent,
                        TimePoint aNow);
-  /** Notes engines of a new version. \return whether more may appear yet. */
+  /** Records the engines of a new version.
+   * \return whether more may still appear. */
   bool UpdateNewVersion(const ServiceId& aService,
-                        const Rollout* aMove,
+                        const Rollout* aRollout,
                         const ZoneCounts& aPresent,
                         TimePoint aNow);
   double RequiredNow(const ServiceSpec& aService,
-                     double aNeeded,
+                     double aRequired,
                      TimePoint aNow);
 
   std::map<EngineGroup, GroupState> groups;
--- a/src/coord/StreamMigrationQueue.cpp
+++ b/src/coord/StreamMigrationQueue.cpp
@@ -5,41 +5,41 @@
 namespace toucanshed {
 
 void
-StreamMigrationQueue::AddOrUpdate(const std::string& aLife,
+StreamMigrationQueue::AddOrUpdate(const std::string& aIncarnation,
                                   const RequestId& aRequest,
                                   std::uint64_t aTokens)
 {
-  this->streamsByEngine[aLife][aRequest].tokens = aTokens;
+  this->streamsByEngine[aIncarnation][aRequest].tokens = aTokens;
 }
 
 bool
-StreamMigrationQueue::TryStart(const std::string& aLife,
+StreamMigrationQueue::TryStart(const std::string& aIncarnation,
                                const RequestId& aRequest)
 {
-  StreamMap& line = this->streamsByEngine[aLife];
-  Stream& stream = line[aRequest];
+  StreamMap& streams = this->streamsByEngine[aIncarnation];
+  Stream& stream = streams[aRequest];
   if (stream.migrating) {
     return true;
   }
-  const auto before =
-    std::count_if(line.begin(), line.end(), [&](const auto& aOther) {
+  const auto ahead =
+    std::count_if(streams.begin(), streams.end(), [&](const auto& aOther) {
       return aOther.second.migrating || aOther.second.tokens > stream.tokens;
     });
-  stream.migrating = static_cast<std::size_t>(before) < kMaxConcurrent;
+  stream.migrating = static_cast<std::size_t>(ahead) < kMaxConcurrent;
   return stream.migrating;
 }
 
 void
-StreamMigrationQueue::Remove(const std::string& aLife,
+StreamMigrationQueue::Remove(const std::string& aIncarnation,
                              const RequestId& aRequest)
 {
-  const auto line = this->streamsByEngine.find(aLife);
-  if (line == this->streamsByEngine.end()) {
+  const auto streams = this->streamsByEngine.find(aIncarnation);
+  if (streams == this->streamsByEngine.end()) {
     return;
   }
-  line->second.erase(aRequest);
-  if (line->second.empty()) {
-    this->streamsByEngine.erase(line);
+  streams->second.erase(aRequest);
+  if (streams->second.empty()) {
+    this->streamsByEngine.erase(streams);
   }
 }
 
--- a/src/coord/StreamMigrationQueue.h
+++ b/src/coord/StreamMigrationQueue.h
@@ -1,5 +1,5 @@
 /** \file
- * The order in which streams leave an engine that is being reclaimed.
+ * The order in which streams migrate from an engine that is being reclaimed.
  */
 #pragma once
 
@@ -12,32 +12,40 @@
 namespace toucanshed {
 
 /**
- * A notice lasts seconds, and exporting a stream's state takes the engine's
- * time. The streams with the most work sunk into them go first, a few at a
- * time; those that the notice does not last for lose the least. A stream goes
- * on being read until its turn comes, and many end by themselves before.
+ * The notice of a reclaim is only seconds long, and exporting a stream's state
+ * takes time on the engine. Therefore only a few streams migrate at a time,
+ * those with the most tokens first: streams for which the notice is too short
+ * then lose the least work. The engine continues to generate a stream until its
+ * migration starts, and many streams end before that.
  *
  * \code
- * turns.Enter(life, request, tokensSoFar);
- * if (turns.MayGo(life, request)) { ...move...; turns.Leave(life, request); }
+ * queue.AddOrUpdate(incarnation, request, tokenCount);
+ * if (queue.TryStart(incarnation, request)) {
+ *   ...migrate...
+ *   queue.Remove(incarnation, request);
+ * }
  * \endcode
  *
+ * Engines are named by their incarnation keys.
+ *
  * Thread safety: none; the owner serialises.
  */
 class StreamMigrationQueue
 {
 public:
-  /** Streams that move off one engine at the same time. */
+  /** Maximum number of streams that migrate from one engine at a time. */
   static constexpr std::size_t kMaxConcurrent = 4;
 
-  /** Joins the line, or tells of more tokens. */
-  void AddOrUpdate(const std::string& aLife,
+  /** Adds a stream, or updates its number of tokens. */
+  void AddOrUpdate(const std::string& aIncarnation,
                    const RequestId& aRequest,
                    std::uint64_t aTokens);
-  /** Whether its turn has come; from then on it holds one of the places. */
-  bool TryStart(const std::string& aLife, const RequestId& aRequest);
-  /** It has moved or ended. */
-  void Remove(const std::string& aLife, const RequestId& aRequest);
+  /** Starts the migration of a stream if fewer than kMaxConcurrent other
+   * streams of the engine are migrating or have more tokens. \return whether
+   * the stream may migrate; stays true until Remove */
+  bool TryStart(const std::string& aIncarnation, const RequestId& aRequest);
+  /** Removes a stream that has migrated or ended. */
+  void Remove(const std::string& aIncarnation, const RequestId& aRequest);
 
 private:
   struct Stream
--- a/src/coord/VersionComparison.cpp
+++ b/src/coord/VersionComparison.cpp
@@ -14,24 +14,24 @@
   std::uint64_t total = 0;
 };
 
-/** Least observations of the old version before it is a reference. */
+/** Minimum number of observations of the old version for a reference. */
 constexpr std::uint64_t kMinReference = 20;
-/** Tests made per step and route: errors, two quantiles each of first token and
- * gap. */
+/** Tests for each step and route: errors, and two quantiles each of first token
+ * latency and token gap. */
 constexpr double kTestsPerStratum = 5;
-constexpr double kMedian = 0.5;
-constexpr double kHigh = 0.9;
+constexpr double kMedianQuantile = 0.5;
+constexpr double kHighQuantile = 0.9;
 
-/** Upper end of the 95 % Wilson interval of a share. */
+/** Upper end of the 95 % Wilson interval of a proportion. */
 double
-UpperBound(const Proportion& aShare)
+UpperBound(const Proportion& aProportion)
 {
   constexpr double kZ = 1.96;
-  const auto n = static_cast<double>(aShare.total);
+  const auto n = static_cast<double>(aProportion.total);
   if (n == 0) {
     return 1;
   }
-  const double p = static_cast<double>(aShare.hits) / n;
+  const double p = static_cast<double>(aProportion.hits) / n;
   const double z2 = kZ * kZ;
   const double middle = p + z2 / (2 * n);
   const double spread = kZ * std::sqrt(p * (1 - p) / n + z2 / (4 * n * n));
@@ -45,12 +45,12 @@
 }
 
 /** Logarithm of the likelihood ratio of a uniform mixture against aReference;
- * zero unless the share seen lies above it. */
+ * zero unless the observed proportion exceeds aReference. */
 double
-LogLikelihoodRatio(const Proportion& aSeen, double aReference)
+LogLikelihoodRatio(const Proportion& aObserved, double aReference)
 {
-  const auto n = static_cast<double>(aSeen.total);
-  const auto k = static_cast<double>(aSeen.hits);
+  const auto n = static_cast<double>(aObserved.total);
+  const auto k = static_cast<double>(aObserved.hits);
   if (n == 0 || aReference >= 1 || k / n <= aReference) {
     return 0;
   }
@@ -89,25 +89,26 @@
   return LogLikelihoodRatio(ProportionAbove(aNew, bucket), limit);
 }
 
-/** The share of errors that is no fault of the new version.
- * \param aOld the old version in the same step, \param aOldEver in all. */
+/** Returns the proportion of errors that is tolerated in the new version.
+ * \param aOld the old version in the same step
+ * \param aOldAllSteps the old version in all steps */
 double
 ErrorLimit(const Tally& aOld,
-           const Tally& aOldEver,
+           const Tally& aOldAllSteps,
            const VersionComparisonLimits& aLimits)
 {
-  // Before the old version has served enough to be a reference, errors are
-  // compared with a share that no working version reaches.
+  // Until the old version has served enough requests for a reference, errors
+  // are compared with a proportion that no working version reaches.
   constexpr double kUnknownErrorRate = 0.2;
-  constexpr std::uint64_t kSureReference = 200;
-  if (aOld.requests >= kSureReference) {
+  constexpr std::uint64_t kReliableReference = 200;
+  if (aOld.requests >= kReliableReference) {
     return UpperBound(ErrorProportion(aOld)) + aLimits.errorMargin;
   }
-  // Late in a move the old version has few requests. Its errors over the whole
-  // move are a closer reference than so few, with twice the margin for what
-  // may have changed since.
-  if (aOldEver.requests >= kMinReference) {
-    return UpperBound(ErrorProportion(aOldEver)) + 2 * aLimits.errorMargin;
+  // Late in a rollout the old version has few requests. Its errors over the
+  // whole rollout are then the more precise reference. The margin is doubled,
+  // as conditions may have changed since.
+  if (aOldAllSteps.requests >= kMinReference) {
+    return UpperBound(ErrorProportion(aOldAllSteps)) + 2 * aLimits.errorMargin;
   }
   return kUnknownErrorRate;
 }
@@ -118,36 +119,36 @@
   double logRatio = 0; // logarithm of the likelihood ratio
   std::string symptom;
 
-  void Consider(double aEvidence, const char* aFault)
+  void Consider(double aLogRatio, const char* aSymptom)
   {
-    if (aEvidence > this->logRatio) {
-      this->logRatio = aEvidence;
-      this->symptom = aFault;
+    if (aLogRatio > this->logRatio) {
+      this->logRatio = aLogRatio;
+      this->symptom = aSymptom;
     }
   }
 };
 
 Regression
 WorstRegression(const Tally& aOld,
-                const Tally& aOldEver,
+                const Tally& aOldAllSteps,
                 const Tally& aNew,
                 const VersionComparisonLimits& aLimits)
 {
-  Regression charge;
-  const double errorLimit = ErrorLimit(aOld, aOldEver, aLimits);
-  charge.Consider(LogLikelihoodRatio(ErrorProportion(aNew), errorLimit),
-                  "errors");
-  for (const double quantile : { kMedian, kHigh }) {
-    charge.Consider(
+  Regression regression;
+  const double errorLimit = ErrorLimit(aOld, aOldAllSteps, aLimits);
+  regression.Consider(LogLikelihoodRatio(ErrorProportion(aNew), errorLimit),
+                      "errors");
+  for (const double quantile : { kMedianQuantile, kHighQuantile }) {
+    regression.Consider(
       LatencyLogRatio(
         aOld.firstToken, aNew.firstToken, quantile, aLimits.latencyMargin),
       "slow first token");
-    charge.Consider(
+    regression.Consider(
       LatencyLogRatio(
         aOld.tokenGap, aNew.tokenGap, quantile, aLimits.latencyMargin),
       "slow tokens");
   }
-  return charge;
+  return regression;
 }
 
 } // namespace
@@ -157,31 +158,31 @@
                 const StratumTallies& aNew,
                 const VersionComparisonLimits& aLimits)
 {
-  VersionVerdict finding;
+  VersionVerdict verdict;
   const double tests =
     kTestsPerStratum *
     static_cast<double>(std::max<std::size_t>(1, aNew.size()));
-  const double bad = std::log(tests / aLimits.falseAlarmRate);
-  const double doubtful = std::log(1 / aLimits.doubtfulFalseAlarmRate);
-  std::map<std::string, Tally> oldEver;
+  const double badThreshold = std::log(tests / aLimits.falseAlarmRate);
+  const double doubtfulThreshold = std::log(1 / aLimits.doubtfulFalseAlarmRate);
+  std::map<std::string, Tally> oldByRoute;
   for (const auto& [stratum, tally] : aOld) {
-    oldEver[stratum.route] += tally;
+    oldByRoute[stratum.route] += tally;
   }
-  double worst = 0;
+  double maxLogRatio = 0;
   for (const auto& [stratum, tally] : aNew) {
-    finding.requests += tally.requests;
+    verdict.requests += tally.requests;
     const auto old = aOld.find(stratum);
     const Tally reference = old == aOld.end() ? Tally{} : old->second;
-    const Regression charge =
-      WorstRegression(reference, oldEver[stratum.route], tally, aLimits);
-    if (charge.logRatio > worst) {
-      worst = charge.logRatio;
-      finding.reason = charge.symptom + " on route " + stratum.route;
+    const Regression regression =
+      WorstRegression(reference, oldByRoute[stratum.route], tally, aLimits);
+    if (regression.logRatio > maxLogRatio) {
+      maxLogRatio = regression.logRatio;
+      verdict.reason = regression.symptom + " on route " + stratum.route;
     }
   }
-  finding.bad = worst > bad;
-  finding.doubtful = worst > doubtful;
-  return finding;
+  verdict.bad = maxLogRatio > badThreshold;
+  verdict.doubtful = maxLogRatio > doubtfulThreshold;
+  return verdict;
 }
 
 } // namespace toucanshed
--- a/src/coord/VersionComparison.h
+++ b/src/coord/VersionComparison.h
@@ -1,5 +1,5 @@
 /** \file
- * The sequential test that tells a bad version from noise.
+ * A sequential test that distinguishes a bad version from noise.
  */
 #pragma once
 
@@ -9,47 +9,49 @@
 
 namespace toucanshed {
 
-/** What the evidence says of a new version. */
+/** The result of comparing a new version with the old one. */
 struct VersionVerdict
 {
   bool bad = false;
-  /** Not bad yet, but worse than chance would often have it: no time to give
-   * the version more traffic. */
+  /** Not necessarily bad, but worse than chance often explains: the version
+   * should not get more traffic. */
   bool doubtful = false;
-  std::string reason;         // of the strongest doubt
-  std::uint64_t requests = 0; // seen on the new version
+  std::string reason;         // symptom and route of the worst regression
+  std::uint64_t requests = 0; // observed on the new version
 };
 
 /**
- * How sure the test must be, and what difference is none.
+ * The false alarm rates of the test and the differences that it tolerates.
  *
- * The chance that a version as good as the old one is ever found bad is at
- * most `falseAlarm`, however often one looks, up to how well the old
- * version's own rate is known.
+ * The probability that a version as good as the old one is ever found bad is at
+ * most `falseAlarmRate`, however often the test is repeated. This holds up to
+ * the precision with which the old version's own rate is known.
  */
 struct VersionComparisonLimits
 {
   double falseAlarmRate = 0.001;
-  double doubtfulFalseAlarmRate = 0.15; // the same, for a finding of doubtful
+  double doubtfulFalseAlarmRate = 0.15; // the same for `doubtful`
   double errorMargin = 0.01;            // share of requests
   double latencyMargin = 0.12; // share of requests above the old quantile
 };
 
 /**
- * Compares the new version with the old one that served at the same time, so
- * that a lunch peak or a lost zone, which slows both, condemns neither. Each
- * step of the move and each route is tested by itself: over several steps the
- * two are not concurrent, and a fault on one route drowns in the sum.
+ * Compares the new version with the old version over the same period. A load
+ * peak or a lost failure domain slows both, so neither counts against the new
+ * version. Each step of the rollout and each route is tested separately: over
+ * several steps the requests of the two versions are not concurrent, and a
+ * fault on one route is hidden in the sum over all routes.
  *
- * Errors, slow first tokens and slow token gaps are each a test on a share:
- * that of the new version against the old one's plus a margin. The statistic
- * is the likelihood ratio of a uniform mixture over worse shares against the
- * reference share; it is a non-negative martingale under the reference, so by
- * Ville's inequality one may look after every request.
+ * Errors, slow first tokens and slow token gaps are each tested as a
+ * proportion: that of the new version against that of the old version plus a
+ * margin. The statistic is the likelihood ratio of a uniform mixture over worse
+ * proportions against the reference proportion. It is a non-negative martingale
+ * under the reference, so by Ville's inequality the test may be repeated after
+ * every request.
  *
  * \code
- * const VersionFinding finding = TestVersion(old, fresh, {});
- * if (finding.bad) { takeBack(finding.reason); }
+ * const VersionVerdict verdict = CompareVersions(oldTallies, newTallies, {});
+ * if (verdict.bad) { RollBack(verdict.reason); }
  * \endcode
  *
  * Thread safety: pure function.
--- a/src/coord/WorkTable.cpp
+++ b/src/coord/WorkTable.cpp
@@ -16,7 +16,7 @@
   if (writer == this->queue.Writer()) {
     this->queue.MarkCommitted(aBatch.sequence());
   }
-  if (!this->filter.Accept(writer, aBatch.sequence())) {
+  if (!this->deduplicator.Accept(writer, aBatch.sequence())) {
     return;
   }
   for (const records::Record& record : aBatch.records()) {
@@ -70,16 +70,16 @@
 }
 
 std::vector<WorkId>
-WorkTable::AssignedTo(const std::string& aMe,
+WorkTable::AssignedTo(const std::string& aDaemonId,
                       const std::vector<std::string>& aAlive) const
 {
-  std::vector<WorkId> owned;
+  std::vector<WorkId> assigned;
   for (const WorkId& id : this->unfinished) {
-    if (RendezvousOwner(id.value, aAlive) == aMe) {
-      owned.push_back(id);
+    if (RendezvousOwner(id.value, aAlive) == aDaemonId) {
+      assigned.push_back(id);
     }
   }
-  return owned;
+  return assigned;
 }
 
 } // namespace toucanshed
--- a/src/coord/WorkTable.h
+++ b/src/coord/WorkTable.h
@@ -1,5 +1,5 @@
 /** \file
- * Work accepted for later, folded from the log.
+ * Accepted work, which is answered later, as read from the log.
  */
 #pragma once
 
@@ -17,21 +17,22 @@
 
 namespace toucanshed {
 
-/** One accepted piece of work. */
+/** One accepted request, which is answered later. */
 struct WorkEntry
 {
   WorkId id;
   ServiceId service;
   TeamId team;
   std::string body;
-  std::optional<unsigned> status; // of the result, once there is one
+  std::optional<unsigned> status; // of the result; nullopt until there is one
   std::string result;
 };
 
 /**
- * Work is accepted once its record is read back, and belongs to no daemon:
- * which one runs it is a hint worked out from who is alive. Should two run
- * the same work, the first result in the log is the result.
+ * Work is accepted once its record has been read back from the log. No daemon
+ * owns it: the daemon to run it is derived from the daemons that are alive, and
+ * two may disagree on it. If two run the same work, the first result in the log
+ * is valid.
  *
  * Thread safety: none; the owner serialises.
  */
@@ -40,13 +41,16 @@
 public:
   explicit WorkTable(WriterId aWriter);
 
+  /** Applies a batch of the log; a repeated batch has no effect. */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
 
-  /** Null when it is not known, or forgotten. */
+  /** Returns null when the work is unknown or no longer retained. */
   [[nodiscard]] const WorkEntry* Find(const WorkId& aId) const;
-  /** Work without a result that aMe should run, of those alive. */
+  /** Returns the work without a result that a daemon should run.
+   * \param aDaemonId of that daemon
+   * \param aAlive the ids of the daemons that are alive */
   [[nodiscard]] std::vector<WorkId> AssignedTo(
-    const std::string& aMe,
+    const std::string& aDaemonId,
     const std::vector<std::string>& aAlive) const;
 
   AppendQueue& Queue() { return this->queue; }
@@ -55,16 +59,17 @@
     return this->unfinished.size();
   }
 
-  /** Unfinished work accepted at the most; more is refused as not run. */
+  /** Maximum amount of unfinished work; more is rejected as not run. */
   static constexpr std::size_t kMaxUnfinished = 20000;
-  /** Finished work kept for its callers; the oldest goes first. */
+  /** Maximum amount of finished work retained for its callers; the oldest is
+   * dropped first. */
   static constexpr std::size_t kMaxFinished = 20000;
 
 private:
   void Accept(const records::WorkAccepted& aAccepted);
   void Finish(const records::WorkResult& aResult);
 
-  BatchDeduplicator filter;
+  BatchDeduplicator deduplicator;
   AppendQueue queue;
   std::map<WorkId, WorkEntry> entries;
   std::set<WorkId> unfinished;
