--- a/test/correctness/ScalePlannerTest.cpp
+++ b/test/correctness/ScalePlannerTest.cpp
@@ -27,7 +27,7 @@
   return service;
 }
 
-/** Engines that come when they are ordered. */
+/** A platform that starts and drains engines as soon as they are ordered. */
 struct ScaleSimulation
 {
   static InstanceId InstanceName(int aNumber)
@@ -39,7 +39,7 @@
   {
     for (unsigned i = 0; i < aCount; ++i) {
       BackendEntry entry;
-      entry.id = InstanceName(this->next++);
+      entry.id = InstanceName(this->nextInstance++);
       entry.service = kService;
       entry.zone = ZoneId{ aZone };
       entry.reclaimable = aReclaimable;
@@ -75,39 +75,41 @@
   void Apply(const GroupTarget& aOrder)
   {
     const std::string& zone = aOrder.group.zone.value;
-    const unsigned there = this->CountEngines(zone, aOrder.group.reclaimable);
-    if (aOrder.desired > there) {
-      this->Add(zone, aOrder.group.reclaimable, aOrder.desired - there);
+    const unsigned present = this->CountEngines(zone, aOrder.group.reclaimable);
+    if (aOrder.desired > present) {
+      this->Add(zone, aOrder.group.reclaimable, aOrder.desired - present);
     }
-    unsigned surplus = there > aOrder.desired ? there - aOrder.desired : 0;
-    // The newest go first.
-    for (int i = this->next - 1; i >= 0; --i) {
+    unsigned surplus = present > aOrder.desired ? present - aOrder.desired : 0;
+    // The engines that were added last are drained first.
+    for (int i = this->nextInstance - 1; i >= 0; --i) {
       const Backend* backend = this->table.Find(InstanceName(i));
-      const bool goes = surplus > 0 && !backend->leaving &&
-                        backend->entry.zone == aOrder.group.zone &&
-                        backend->entry.reclaimable == aOrder.group.reclaimable;
-      if (goes) {
+      const bool isDrained =
+        surplus > 0 && !backend->leaving &&
+        backend->entry.zone == aOrder.group.zone &&
+        backend->entry.reclaimable == aOrder.group.reclaimable;
+      if (isDrained) {
         this->table.MarkLeaving(backend->entry.id);
         --surplus;
       }
     }
   }
 
-  /** One review a second. \return how many orders were given. */
-  std::size_t Run(double aNeeded, int aSeconds, bool aNoneToBeHad = false)
+  /** Plans once a second. With aNoneAvailable the platform refuses orders for
+   * more reclaimable engines. \return the number of orders. */
+  std::size_t Run(double aRequired, int aSeconds, bool aNoneAvailable = false)
   {
     constexpr Millis kSecond{ 1000 };
-    std::size_t given = 0;
+    std::size_t orderCount = 0;
     for (int i = 0; i < aSeconds; ++i) {
       this->now = this->now + kSecond;
       for (const GroupTarget& order : this->planner.Plan(FourZones(),
-                                                         aNeeded,
+                                                         aRequired,
                                                          this->table,
                                                          this->CurrentRollout(),
                                                          this->now)) {
-        ++given;
+        ++orderCount;
         const bool refused =
-          aNoneToBeHad && order.group.reclaimable &&
+          aNoneAvailable && order.group.reclaimable &&
           order.desired > this->CountEngines(order.group.zone.value, true);
         if (refused) {
           this->planner.RecordRefused(order, this->now);
@@ -117,11 +119,11 @@
         }
       }
     }
-    return given;
+    return orderCount;
   }
 
-  /** Begins a move to a new version, as many engines of which are started as
-   * the service has. */
+  /** Starts a rollout to a new version, with aInEachZone on-demand engines of
+   * it in each failure domain. */
   void StartRollout(unsigned aInEachZone)
   {
     this->rollout = Rollout{};
@@ -132,7 +134,8 @@
     for (const char* zone : { "a", "b", "c", "d" }) {
       this->Add(zone, false, aInEachZone);
     }
-    this->version = VersionId{ "v1" }; // of what is ordered meanwhile
+    this->version =
+      VersionId{ "v1" }; // of engines that are ordered from now on
   }
 
   unsigned CountVersion(const std::string& aVersion) const
@@ -156,12 +159,13 @@
   BackendTable table;
   ScalePlanner planner;
   TimePoint now{ 1000 };
-  int next = 0;
+  int nextInstance = 0;
 };
 
 } // namespace
 
-// Engines in need are counted as if they did all their work.
+// Guards against counting rate-limited engines as if they served their full
+// share: too few engines would be ordered.
 TEST_CASE("rate-limited engines are replaced by their lost share")
 {
   constexpr RequestRate kUsual{ 10 };
@@ -173,83 +177,89 @@
                                        RequestRate{ 0 }) == 0);
 }
 
-// Half of the engines name limits, and the other half gets the whole load.
+// Guards against overload when half of the engines report rate limits and the
+// other half gets the whole load.
 TEST_CASE("rate-limited engines get replacements until recovery")
 {
-  ScaleSimulation world;
-  world.Add("a", false, 2);
-  world.Run(8, 40);
-  const unsigned before =
-    world.CountEngines("", true) + world.CountEngines("", false);
-  world.planner.SetLostEngines(kService, 4);
-  world.Run(8, 20);
-  CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
-        before + 4);
-  world.planner.SetLostEngines(kService, 0);
-  world.Run(8, 60);
-  CHECK(world.CountEngines("", true) + world.CountEngines("", false) == before);
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 2);
+  simulation.Run(8, 40);
+  const unsigned initialCount =
+    simulation.CountEngines("", true) + simulation.CountEngines("", false);
+  simulation.planner.SetLostEngines(kService, 4);
+  simulation.Run(8, 20);
+  CHECK(simulation.CountEngines("", true) +
+          simulation.CountEngines("", false) >=
+        initialCount + 4);
+  simulation.planner.SetLostEngines(kService, 0);
+  simulation.Run(8, 60);
+  CHECK(simulation.CountEngines("", true) +
+          simulation.CountEngines("", false) ==
+        initialCount);
 }
 
 TEST_CASE("initial engines stay until others can serve the load")
 {
-  // A peak may begin at once. Before any demand was seen, on-demand engines
-  // are given up only as far as those that stay are enough for what the
-  // operator has sized the service for.
-  ScaleSimulation world;
+  // A load peak may start at any time. Until the demand is known, on-demand
+  // engines are released only while the remaining engines suffice for the peak
+  // that the operator has sized the service for.
+  ScaleSimulation simulation;
   for (const char* zone : { "a", "b", "c", "d" }) {
-    world.Add(zone, false, 4);
+    simulation.Add(zone, false, 4);
   }
   for (int second = 0; second < 20; ++second) {
-    world.Run(0, 1);
-    CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
+    simulation.Run(0, 1);
+    CHECK(simulation.CountEngines("", true) +
+            simulation.CountEngines("", false) >=
           16 * ScalePlanner::kInitialShare);
   }
-  CHECK(world.CountEngines("", false) < 8);
+  CHECK(simulation.CountEngines("", false) < 8);
 }
 
 TEST_CASE("engines not listed yet do not count as missing")
 {
-  // All daemons start at once, and the engines' first heartbeats come over the
-  // next two seconds. A plan made from the first four of them would have most
-  // of the 18 engines drained just before the traffic begins.
-  ScaleSimulation world;
-  world.Add("a", false, 4);
-  CHECK(world.Run(0, 1) == 0);
-  world.Add("b", false, 7);
-  CHECK(world.Run(0, 1) == 0);
-  world.Add("c", false, 7);
+  // All daemons start at the same time, and the engines' first entry renewals
+  // arrive over the next two seconds. A plan based on the first four engines
+  // would drain most of the 18 engines just before the traffic starts.
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 4);
+  CHECK(simulation.Run(0, 1) == 0);
+  simulation.Add("b", false, 7);
+  CHECK(simulation.Run(0, 1) == 0);
+  simulation.Add("c", false, 7);
   for (int second = 0; second < 20; ++second) {
-    world.Run(0, 1);
-    CHECK(world.CountEngines("", true) + world.CountEngines("", false) >=
+    simulation.Run(0, 1);
+    CHECK(simulation.CountEngines("", true) +
+            simulation.CountEngines("", false) >=
           18 * ScalePlanner::kInitialShare);
   }
 }
 
 TEST_CASE("a new duty holder replaces reclaimed engines at once")
 {
-  // The holder of the duties is gone and a failure domain is reclaimed. The
-  // next holder has watched the engines all along and need not wait.
-  ScaleSimulation world;
-  world.Add("a", false, 2);
-  world.Run(8, 40);
-  ScalePlanner next;
+  // The duty holder no longer runs and a failure domain is reclaimed. The next
+  // holder has observed the engines all the time and orders without a delay.
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 2);
+  simulation.Run(8, 40);
+  ScalePlanner nextPlanner;
   for (int second = 0; second < 30; ++second) {
-    world.now = world.now + Millis(1000);
-    next.Observe(kService, world.table, nullptr, world.now);
+    simulation.now = simulation.now + Millis(1000);
+    nextPlanner.Observe(kService, simulation.table, nullptr, simulation.now);
   }
-  world.Reclaim("a");
-  world.planner = next;
-  world.now = world.now - Millis(500);
-  CHECK(world.Run(8, 1) > 0);
+  simulation.Reclaim("a");
+  simulation.planner = nextPlanner;
+  simulation.now = simulation.now - Millis(500);
+  CHECK(simulation.Run(8, 1) > 0);
 }
 
 TEST_CASE("one zone's reclaim leaves enough engines")
 {
-  ScaleSimulation world;
-  world.Add("a", false, 2);
-  world.Run(8, 40);
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 2);
+  simulation.Run(8, 40);
   for (const char* zone : { "a", "b", "c", "d" }) {
-    ScaleSimulation reclaimed = world;
+    ScaleSimulation reclaimed = simulation;
     reclaimed.Reclaim(zone);
     CHECK(reclaimed.CountEngines("", true) +
             reclaimed.CountEngines("", false) >=
@@ -259,99 +269,104 @@
 
 TEST_CASE("on-demand engines replace unavailable reclaimable ones")
 {
-  ScaleSimulation world;
-  world.Add("a", false, 2);
-  world.Run(8, 40);
-  const unsigned calm = world.CountEngines("", false);
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 2);
+  simulation.Run(8, 40);
+  const unsigned initialOnDemand = simulation.CountEngines("", false);
   for (const char* zone : { "a", "b", "d" }) {
-    world.Reclaim(zone);
+    simulation.Reclaim(zone);
   }
-  world.Run(8, 6, true);
-  CHECK(world.CountEngines("", true) + world.CountEngines("", false) >= 8);
-  CHECK(world.CountEngines("", false) > calm);
-  world.Run(8, 20);
-  CHECK(world.CountEngines("", false) == calm);
+  simulation.Run(8, 6, true);
+  CHECK(simulation.CountEngines("", true) +
+          simulation.CountEngines("", false) >=
+        8);
+  CHECK(simulation.CountEngines("", false) > initialOnDemand);
+  simulation.Run(8, 20);
+  CHECK(simulation.CountEngines("", false) == initialOnDemand);
 }
 
 TEST_CASE("steady demand causes no further orders")
 {
-  ScaleSimulation world;
-  world.Add("a", false, 2);
-  world.Run(8, 40);
-  CHECK(world.Run(8, 40) == 0);
+  ScaleSimulation simulation;
+  simulation.Add("a", false, 2);
+  simulation.Run(8, 40);
+  CHECK(simulation.Run(8, 40) == 0);
 }
 
 TEST_CASE("repeated reclaims find on-demand engines in place")
 {
   // All failure domains are reclaimed, two seconds apart, and no reclaimable
-  // engine is to be had. Engines take four seconds to come: those that are
-  // ordered when the last ones go leave some seconds in which every request
-  // waits. As many domains as have gone are taken to follow.
-  constexpr double kNeeded = 10;
-  constexpr double kSuffices = 0.7;
-  ScaleSimulation world;
-  world.Add("b", false, 8);
-  world.Run(kNeeded, 60);
-  world.Reclaim("a");
-  world.Run(kNeeded, 2, true);
-  world.Reclaim("b");
-  world.Run(kNeeded, 1, true);
-  CHECK(world.CountEngines("", false) >= kSuffices * kNeeded);
+  // engine is available. Engines take four seconds to start: if they were
+  // ordered only at the last reclaim, every request would wait for some
+  // seconds. Therefore as many further failure domains as were reclaimed are
+  // assumed to follow.
+  constexpr double kRequired = 10;
+  constexpr double kSufficientShare = 0.7;
+  ScaleSimulation simulation;
+  simulation.Add("b", false, 8);
+  simulation.Run(kRequired, 60);
+  simulation.Reclaim("a");
+  simulation.Run(kRequired, 2, true);
+  simulation.Reclaim("b");
+  simulation.Run(kRequired, 1, true);
+  CHECK(simulation.CountEngines("", false) >= kSufficientShare * kRequired);
 }
 
 TEST_CASE("a single reclaim orders only what it lost")
 {
-  ScaleSimulation world;
-  world.Add("b", false, 8);
-  world.Run(10, 60);
-  const unsigned before = world.CountEngines("", false);
-  world.Reclaim("a");
-  world.Run(10, 2, true);
-  CHECK(world.CountEngines("", false) <= before + 1);
+  ScaleSimulation simulation;
+  simulation.Add("b", false, 8);
+  simulation.Run(10, 60);
+  const unsigned initialCount = simulation.CountEngines("", false);
+  simulation.Reclaim("a");
+  simulation.Run(10, 2, true);
+  CHECK(simulation.CountEngines("", false) <= initialCount + 1);
 }
 
 TEST_CASE("required new-version engines are kept in a rollout")
 {
-  // An operator starts as many engines of the new version as are needed. They
-  // are the newest, so an order that counts them as surplus drains them, and
-  // what is ordered instead has the old version, which stops at the move's end.
-  ScaleSimulation world;
+  // An operator starts as many engines of the new version as are required. They
+  // are the latest ones, so an order that counts them as surplus would drain
+  // them. The engines ordered instead would have the old version, which is
+  // stopped at the end of the rollout.
+  ScaleSimulation simulation;
   for (const char* zone : { "a", "b", "c", "d" }) {
-    world.Add(zone, false, 3);
+    simulation.Add(zone, false, 3);
   }
-  world.Run(8, 40);
-  world.StartRollout(3);
-  world.Run(8, 15);
-  CHECK(world.CountVersion("v2") >= 8);
+  simulation.Run(8, 40);
+  simulation.StartRollout(3);
+  simulation.Run(8, 15);
+  CHECK(simulation.CountVersion("v2") >= 8);
 }
 
 TEST_CASE("surplus new-version engines are released")
 {
-  ScaleSimulation world;
+  ScaleSimulation simulation;
   for (const char* zone : { "a", "b", "c", "d" }) {
-    world.Add(zone, false, 6);
+    simulation.Add(zone, false, 6);
   }
-  world.Run(3, 40);
-  world.StartRollout(6);
-  world.Run(3, 15);
-  CHECK(world.CountVersion("v2") >= 3);
-  CHECK(world.CountVersion("v2") <= 8);
+  simulation.Run(3, 40);
+  simulation.StartRollout(6);
+  simulation.Run(3, 15);
+  CHECK(simulation.CountVersion("v2") >= 3);
+  CHECK(simulation.CountVersion("v2") <= 8);
 }
 
 TEST_CASE("engines stopped by a completed rollout are replaced")
 {
-  // The old engines are listed for seconds after they were stopped.
-  ScaleSimulation world;
+  // The backend list contains the old engines for seconds after they were
+  // stopped; counting them would delay their replacement.
+  ScaleSimulation simulation;
   for (const char* zone : { "a", "b", "c", "d" }) {
-    world.Add(zone, false, 3);
+    simulation.Add(zone, false, 3);
   }
-  world.Run(8, 40);
-  world.StartRollout(1);
-  world.Run(8, 10);
-  world.rollout->phase = RolloutPhase::eCompleted;
-  world.version = VersionId{ "v2" };
-  world.Run(8, 1);
-  CHECK(world.CountVersion("v2") >= 8);
+  simulation.Run(8, 40);
+  simulation.StartRollout(1);
+  simulation.Run(8, 10);
+  simulation.rollout->phase = RolloutPhase::eCompleted;
+  simulation.version = VersionId{ "v2" };
+  simulation.Run(8, 1);
+  CHECK(simulation.CountVersion("v2") >= 8);
 }
 
 } // namespace toucanshed::test
--- a/test/correctness/StreamMigrationQueueTest.cpp
+++ b/test/correctness/StreamMigrationQueueTest.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 RequestId
-Named(std::size_t aNumber)
+MakeRequestId(std::size_t aNumber)
 {
   return RequestId{ "r" + std::to_string(aNumber) };
 }
@@ -15,41 +15,42 @@
 
 TEST_CASE("streams with most tokens leave a reclaimed engine first")
 {
-  StreamMigrationQueue turns;
+  StreamMigrationQueue queue;
   constexpr std::size_t kStreams = 10;
   for (std::size_t i = 0; i < kStreams; ++i) {
-    turns.AddOrUpdate("e/1", Named(i), 10 * i);
+    queue.AddOrUpdate("e/1", MakeRequestId(i), 10 * i);
   }
   for (std::size_t i = 0; i < kStreams; ++i) {
-    const bool among = i >= kStreams - StreamMigrationQueue::kMaxConcurrent;
-    CHECK(turns.TryStart("e/1", Named(i)) == among);
+    const bool isAmongFirst =
+      i >= kStreams - StreamMigrationQueue::kMaxConcurrent;
+    CHECK(queue.TryStart("e/1", MakeRequestId(i)) == isAmongFirst);
   }
 }
 
 TEST_CASE("the next stream migrates once another has left")
 {
-  StreamMigrationQueue turns;
+  StreamMigrationQueue queue;
   for (std::size_t i = 0; i < 6; ++i) {
-    turns.AddOrUpdate("e/1", Named(i), 10 * i);
+    queue.AddOrUpdate("e/1", MakeRequestId(i), 10 * i);
   }
   for (std::size_t i = 2; i < 6; ++i) {
-    REQUIRE(turns.TryStart("e/1", Named(i)));
+    REQUIRE(queue.TryStart("e/1", MakeRequestId(i)));
   }
-  CHECK_FALSE(turns.TryStart("e/1", Named(1)));
-  turns.Remove("e/1", Named(4));
-  CHECK(turns.TryStart("e/1", Named(1)));
-  CHECK_FALSE(turns.TryStart("e/1", Named(0)));
+  CHECK_FALSE(queue.TryStart("e/1", MakeRequestId(1)));
+  queue.Remove("e/1", MakeRequestId(4));
+  CHECK(queue.TryStart("e/1", MakeRequestId(1)));
+  CHECK_FALSE(queue.TryStart("e/1", MakeRequestId(0)));
 }
 
 TEST_CASE("streams of different engines do not wait for each other")
 {
-  StreamMigrationQueue turns;
+  StreamMigrationQueue queue;
   for (std::size_t i = 0; i < StreamMigrationQueue::kMaxConcurrent; ++i) {
-    turns.AddOrUpdate("e/1", Named(i), 10);
-    REQUIRE(turns.TryStart("e/1", Named(i)));
+    queue.AddOrUpdate("e/1", MakeRequestId(i), 10);
+    REQUIRE(queue.TryStart("e/1", MakeRequestId(i)));
   }
-  turns.AddOrUpdate("f/1", Named(99), 1);
-  CHECK(turns.TryStart("f/1", Named(99)));
+  queue.AddOrUpdate("f/1", MakeRequestId(99), 1);
+  CHECK(queue.TryStart("f/1", MakeRequestId(99)));
 }
 
 } // namespace toucanshed::test
--- a/test/failure/HandoverTest.cpp
+++ b/test/failure/HandoverTest.cpp
@@ -14,7 +14,7 @@
 const std::string kPrompt = "what blocks duct 17";
 
 ModelRequest
-RequestNow(DaemonState& aState)
+MakeRequest(DaemonState& aState)
 {
   return MakeModelRequest(aState, kPrompt, kTokens);
 }
@@ -27,7 +27,7 @@
   co_return true;
 }
 
-struct Session
+struct HandoverRun
 {
   RequestOutcome first = RequestOutcome::eNotRun;
   RequestOutcome second = RequestOutcome::eNotRun;
@@ -37,28 +37,28 @@
 };
 
 Task<void>
-Play(DaemonHarness& aWorld, Session& aSession)
+RunHandover(DaemonHarness& aHarness, HandoverRun& aRun)
 {
-  DaemonState& state = aWorld.state;
+  DaemonState& state = aHarness.state;
   const auto sink = [&](const std::string&) {
-    return CountAndStop(state, aSession.delivered);
+    return CountAndStop(state, aRun.delivered);
   };
-  ModelCall first(state, aWorld.FirstWorker(), RequestNow(state), sink);
+  ModelCall first(state, aHarness.FirstWorker(), MakeRequest(state), sink);
   first.AllowHandover();
-  aSession.first = (co_await first.Run()).outcome;
+  aRun.first = (co_await first.Run()).outcome;
   state.handingOver = false;
-  // What went to a peer comes back, as if this were that peer.
-  StoreHandedOver(state, aSession.sent.at(0).envelope);
+  // The message for a peer is stored here, as if this daemon were that peer.
+  StoreHandedOver(state, aRun.sent.at(0).envelope);
   const RequestId request{ "r-1" };
-  const auto handed =
-    co_await FindHandedOverStream(state, aWorld.FirstWorker(), request);
-  ModelCall second(state, aWorld.FirstWorker(), RequestNow(state), sink);
-  second.ResumeFrom(handed->tokens);
-  aSession.second = (co_await second.Run()).outcome;
-  aSession.text = second.Response().Text();
+  const auto handedOver =
+    co_await FindHandedOverStream(state, aHarness.FirstWorker(), request);
+  ModelCall second(state, aHarness.FirstWorker(), MakeRequest(state), sink);
+  second.ResumeFrom(handedOver->tokens);
+  aRun.second = (co_await second.Run()).outcome;
+  aRun.text = second.Response().Text();
 }
 
-/** Makes two peers known, which is who streams are handed to. */
+/** Adds two members, to which streams are handed over. */
 void
 AddPeers(DaemonState& aState)
 {
@@ -78,22 +78,23 @@
 
 TEST_CASE("a stopping daemon's stream continues at a peer")
 {
-  // The daemon's time to finish is over after five tokens. Two peers get what
-  // there is; the caller asks again at one of them and the answer goes on
-  // from the sixth token: each is generated once.
-  DaemonHarness world(21400);
-  world.AddEngine("engine-1");
-  AddPeers(world.state);
-  Session session;
-  world.state.sendToPeer = [&session](OutgoingEnvelope aMessage) {
-    session.sent.push_back(std::move(aMessage));
+  // A stopping daemon has no time left after five tokens and hands the stream
+  // over to two peers. The caller reconnects to one of them, and the stream
+  // continues with the sixth token. Without the handover every token would be
+  // generated again.
+  DaemonHarness harness(21400);
+  harness.AddEngine("engine-1");
+  AddPeers(harness.state);
+  HandoverRun run;
+  harness.state.sendToPeer = [&run](OutgoingEnvelope aMessage) {
+    run.sent.push_back(std::move(aMessage));
   };
-  world.Run(Play(world, session));
-  CHECK(session.first == RequestOutcome::eHandedOver);
-  CHECK(session.sent.size() == 2);
-  CHECK(session.second == RequestOutcome::eCompleted);
-  CHECK(session.text == standin::FullResponse(kPrompt, kTokens));
-  CHECK(session.delivered == kTokens);
+  harness.Run(RunHandover(harness, run));
+  CHECK(run.first == RequestOutcome::eHandedOver);
+  CHECK(run.sent.size() == 2);
+  CHECK(run.second == RequestOutcome::eCompleted);
+  CHECK(run.text == standin::FullResponse(kPrompt, kTokens));
+  CHECK(run.delivered == kTokens);
 }
 
 TEST_CASE("the longer of two copies of a stream is kept")
--- a/test/performance/RolloutSimulation.cpp
+++ b/test/performance/RolloutSimulation.cpp
@@ -13,35 +13,35 @@
 constexpr double kRequestsPerSecond = 30;
 constexpr double kRareRouteShare = 0.2;
 constexpr std::int64_t kSecond = 1000;
-const Position kMove{ 4096 };
-const VersionId kOld{ "v1" };
-const VersionId kNew{ "v2" };
+const Position kRollout{ 4096 };
+const VersionId kOldVersion{ "v1" };
+const VersionId kNewVersion{ "v2" };
 
 config::Move
-Asked()
+MakeSpec()
 {
-  config::Move move;
-  move.set_from(kOld.value);
-  move.set_to(kNew.value);
-  move.set_deadline_s(300);
-  move.set_canary_percent(5);
-  move.set_soak_s(30);
-  move.set_min_requests(30);
-  return move;
+  config::Move spec;
+  spec.set_from(kOldVersion.value);
+  spec.set_to(kNewVersion.value);
+  spec.set_deadline_s(300);
+  spec.set_canary_percent(5);
+  spec.set_soak_s(30);
+  spec.set_min_requests(30);
+  return spec;
 }
 
-class World
+class Simulation
 {
 public:
-  World(const RolloutScenario& aScene, std::uint64_t aSeed)
-    : scene(aScene)
+  Simulation(const RolloutScenario& aScenario, std::uint64_t aSeed)
+    : scenario(aScenario)
     , random(aSeed)
-    , asked(Asked())
+    , spec(MakeSpec())
   {
-    this->outlook.state.rollout = kMove;
-    this->outlook.state.from = kOld;
-    this->outlook.state.to = kNew;
-    this->outlook.spec = this->asked;
+    this->input.state.rollout = kRollout;
+    this->input.state.from = kOldVersion;
+    this->input.state.to = kNewVersion;
+    this->input.spec = this->spec;
     for (std::size_t i = 0; i < kDaemons; ++i) {
       this->tables.emplace_back("d" + std::to_string(i));
     }
@@ -49,162 +49,167 @@
 
   RolloutResult Run()
   {
-    constexpr std::int64_t kMostMs = 400 * kSecond;
-    while (this->ms < kMostMs && !this->Settled()) {
-      this->ms += kTickMs;
-      this->Traffic();
-      if (this->ms % kGossipMs == 0) {
-        this->Gossip();
+    constexpr std::int64_t kMaxMs = 400 * kSecond;
+    while (this->nowMs < kMaxMs && !this->IsFinished()) {
+      this->nowMs += kTickMs;
+      this->SendTraffic();
+      if (this->nowMs % kGossipMs == 0) {
+        this->ExchangeEvidence();
       }
     }
-    return this->run;
+    return this->result;
   }
 
 private:
-  [[nodiscard]] bool Settled() const
+  [[nodiscard]] bool IsFinished() const
   {
-    // Some seconds beyond the verdict show whether traffic has stopped.
-    return this->ended >= 0 && this->ms > this->ended + 5 * kSecond;
+    // The seconds after the end show whether the traffic has stopped.
+    return this->endedAtMs >= 0 && this->nowMs > this->endedAtMs + 5 * kSecond;
   }
 
-  [[nodiscard]] double Normal()
+  [[nodiscard]] double NextNormal()
   {
     const double u = 1 - this->random.NextUnit();
     const double angle = 6.283185307 * this->random.NextUnit();
     return std::sqrt(-2 * std::log(u)) * std::cos(angle);
   }
 
-  [[nodiscard]] std::uint32_t ShareNow(std::size_t aDaemon) const
+  [[nodiscard]] std::uint32_t NewVersionPercent(std::size_t aDaemon) const
   {
-    if (this->run.completed) {
+    if (this->result.completed) {
       return 100;
     }
-    // The daemon that finds the version bad acts at once; the word reaches the
-    // others with its next message.
-    const bool heard = this->run.rolledBack &&
-                       (aDaemon == 0 || this->ms >= this->ended + kGossipMs);
-    return heard ? 0
-                 : NewVersionPercentAt(this->outlook.state.step,
-                                       this->asked.canary_percent());
+    // The daemon that finds the version bad acts at once; the others receive
+    // the fact with its next message.
+    const bool isInformed =
+      this->result.rolledBack &&
+      (aDaemon == 0 || this->nowMs >= this->endedAtMs + kGossipMs);
+    return isInformed ? 0
+                      : NewVersionPercentAt(this->input.state.step,
+                                            this->spec.canary_percent());
   }
 
-  void Traffic()
+  void SendTraffic()
   {
     const double expected = kRequestsPerSecond * kTickMs / kSecond;
     auto count = static_cast<std::uint64_t>(expected);
     count += this->random.NextUnit() < expected - std::floor(expected) ? 1 : 0;
     for (std::uint64_t i = 0; i < count; ++i) {
-      this->One();
+      this->SendRequest();
     }
   }
 
-  [[nodiscard]] bool FaultyNow(bool aRare) const
+  [[nodiscard]] bool IsFaulty(bool aIsRareRoute) const
   {
-    return this->scene.IsBad() &&
-           this->ms >= this->scene.faultyAfterS * kSecond &&
-           this->outlook.state.step >= this->scene.faultyFromStep &&
-           (!this->scene.rareRouteOnly || aRare);
+    return this->scenario.IsBad() &&
+           this->nowMs >= this->scenario.faultyAfterS * kSecond &&
+           this->input.state.step >= this->scenario.faultyFromStep &&
+           (!this->scenario.rareRouteOnly || aIsRareRoute);
   }
 
-  void One()
+  void SendRequest()
   {
     const std::size_t daemon = this->random.NextBelow(kDaemons);
-    const bool fresh = this->random.NextBelow(100) < this->ShareNow(daemon);
-    const bool rare = this->random.NextUnit() < kRareRouteShare;
-    const bool faulty = fresh && this->FaultyNow(rare);
-    Observation seen;
-    double slow = faulty ? this->scene.firstTokenFactor : 1;
-    if (fresh && this->random.NextUnit() < this->scene.slowEngineShare) {
-      slow *= 3;
+    const bool isNew =
+      this->random.NextBelow(100) < this->NewVersionPercent(daemon);
+    const bool isRareRoute = this->random.NextUnit() < kRareRouteShare;
+    const bool isFaulty = isNew && this->IsFaulty(isRareRoute);
+    Observation observation;
+    double firstTokenFactor = isFaulty ? this->scenario.firstTokenFactor : 1;
+    if (isNew && this->random.NextUnit() < this->scenario.slowEngineShare) {
+      firstTokenFactor *= 3;
     }
-    const bool peakNow =
-      this->scene.peak && this->ms >= 60 * kSecond && this->ms < 120 * kSecond;
-    slow *= peakNow ? 3 : 1;
-    seen.firstTokenMs = 80 * slow * std::exp(0.5 * this->Normal());
-    const double gap = faulty ? this->scene.tokenGapFactor : 1;
-    seen.meanGapMs = 20 * gap * std::exp(0.15 * this->Normal());
-    const bool wave = this->scene.reclaimWave && this->ms >= 50 * kSecond &&
-                      this->ms < 52 * kSecond;
-    seen.error =
-      (faulty && this->random.NextUnit() < this->scene.failureShare) ||
-      (wave && this->random.NextUnit() < 0.1) ||
+    const bool isPeak = this->scenario.peak && this->nowMs >= 60 * kSecond &&
+                        this->nowMs < 120 * kSecond;
+    firstTokenFactor *= isPeak ? 3 : 1;
+    observation.firstTokenMs =
+      80 * firstTokenFactor * std::exp(0.5 * this->NextNormal());
+    const double gapFactor = isFaulty ? this->scenario.tokenGapFactor : 1;
+    observation.meanGapMs =
+      20 * gapFactor * std::exp(0.15 * this->NextNormal());
+    const bool isReclaimWave = this->scenario.reclaimWave &&
+                               this->nowMs >= 50 * kSecond &&
+                               this->nowMs < 52 * kSecond;
+    observation.error =
+      (isFaulty && this->random.NextUnit() < this->scenario.failureShare) ||
+      (isReclaimWave && this->random.NextUnit() < 0.1) ||
       this->random.NextUnit() < 0.002;
-    const bool verdict = this->ended >= 0 && this->run.rolledBack;
-    if (fresh && verdict) {
-      ++this->run.newAfterRollback;
-      this->run.secondsToZero =
-        static_cast<double>(this->ms - this->ended) / kSecond;
+    const bool isRolledBack = this->endedAtMs >= 0 && this->result.rolledBack;
+    if (isNew && isRolledBack) {
+      ++this->result.newAfterRollback;
+      this->result.secondsToZero =
+        static_cast<double>(this->nowMs - this->endedAtMs) / kSecond;
     }
-    if (faulty && !verdict) {
-      ++this->run.faultyBeforeRollback;
+    if (isFaulty && !isRolledBack) {
+      ++this->result.faultyBeforeRollback;
     }
     this->tables[daemon].Observe(
-      kMove,
-      fresh ? kNew : kOld,
-      Stratum{ this->outlook.state.step, rare ? "completions" : "chat" },
-      seen);
+      kRollout,
+      isNew ? kNewVersion : kOldVersion,
+      Stratum{ this->input.state.step, isRareRoute ? "completions" : "chat" },
+      observation);
   }
 
-  void Gossip()
+  void ExchangeEvidence()
   {
     for (std::size_t i = 1; i < kDaemons; ++i) {
       for (const peer::Evidence& evidence :
-           this->tables[i].LocalEvidence(kMove)) {
+           this->tables[i].LocalEvidence(kRollout)) {
         this->tables[0].Merge(evidence);
       }
     }
-    if (this->ended < 0) {
-      this->Judge();
+    if (this->endedAtMs < 0) {
+      this->EvaluateRollout();
     }
   }
 
-  void Judge()
+  void EvaluateRollout()
   {
     EvidenceTable& table = this->tables[0];
-    this->outlook.finding = CompareVersions(table.Sum(kMove, kOld),
-                                            table.Sum(kMove, kNew),
-                                            VersionComparisonLimits{});
-    this->outlook.stepRequests =
-      this->outlook.finding.requests - this->requestsBefore;
-    const RolloutProposal decision =
-      PlanRollout(this->outlook, TimePoint{ this->ms });
-    switch (decision.action) {
+    this->input.finding = CompareVersions(table.Sum(kRollout, kOldVersion),
+                                          table.Sum(kRollout, kNewVersion),
+                                          VersionComparisonLimits{});
+    this->input.stepRequests =
+      this->input.finding.requests - this->requestsAtStepStart;
+    const RolloutProposal proposal =
+      PlanRollout(this->input, TimePoint{ this->nowMs });
+    switch (proposal.action) {
       case RolloutAction::eAdvance:
-        ++this->outlook.state.step;
-        this->outlook.stepStartedAt = TimePoint{ this->ms };
-        this->requestsBefore = this->outlook.finding.requests;
+        ++this->input.state.step;
+        this->input.stepStartedAt = TimePoint{ this->nowMs };
+        this->requestsAtStepStart = this->input.finding.requests;
         break;
       case RolloutAction::eRollBack:
-        this->run.rolledBack = true;
-        this->ended = this->ms;
+        this->result.rolledBack = true;
+        this->endedAtMs = this->nowMs;
         break;
       case RolloutAction::eDone:
-        this->run.completed = true;
-        this->ended = this->ms;
+        this->result.completed = true;
+        this->endedAtMs = this->nowMs;
         break;
       case RolloutAction::eWait:
         break;
     }
-    this->run.seconds = static_cast<double>(this->ms) / kSecond;
+    this->result.seconds = static_cast<double>(this->nowMs) / kSecond;
   }
 
-  RolloutScenario scene;
+  RolloutScenario scenario;
   Random random;
-  config::Move asked;
-  RolloutPlanInput outlook;
+  config::Move spec;
+  RolloutPlanInput input;
   std::vector<EvidenceTable> tables;
-  RolloutResult run;
-  std::int64_t ms = 0;
-  std::int64_t ended = -1;
-  std::uint64_t requestsBefore = 0;
+  RolloutResult result;
+  std::int64_t nowMs = 0;
+  std::int64_t endedAtMs = -1;
+  std::uint64_t requestsAtStepStart = 0;
 };
 
 } // namespace
 
 RolloutResult
-SimulateRollout(const RolloutScenario& aScene, std::uint64_t aSeed)
+SimulateRollout(const RolloutScenario& aScenario, std::uint64_t aSeed)
 {
-  return World(aScene, aSeed).Run();
+  return Simulation(aScenario, aSeed).Run();
 }
 
 } // namespace toucanshed::test
--- a/test/performance/RolloutSimulation.h
+++ b/test/performance/RolloutSimulation.h
@@ -1,6 +1,6 @@
 /** \file
- * One move between two versions under seeded traffic in logical time, judged
- * by the real evidence, test and planner.
+ * Simulates a stepped rollout under seeded traffic in logical time. Evidence,
+ * version comparison and planner are those of the daemon.
  */
 #pragma once
 
@@ -14,21 +14,22 @@
 
 namespace toucanshed::test {
 
-/** What is wrong with the new version, or with the world around both. */
+/** The faults of the new version, and the disturbances of both versions. */
 struct RolloutScenario
 {
   std::string name;
-  // The new version.
-  double failureShare = 0;     // of its requests
-  double firstTokenFactor = 1; // of its first tokens
+  // The new version:
+  double failureShare = 0;     // of its requests that fail
+  double firstTokenFactor = 1; // of its first token latency
   double tokenGapFactor = 1;   // of its token gaps
   std::int64_t faultyAfterS = 0;
-  std::uint32_t faultyFromStep = 0; // only under the load of this step
-  bool rareRouteOnly = false;       // only on the rarer route
-  // Both versions.
-  bool peak = false;          // first tokens triple for a minute
-  bool reclaimWave = false;   // a tenth fails for two seconds
-  double slowEngineShare = 0; // requests of the new version on a slow engine
+  std::uint32_t faultyFromStep =
+    0;                        // faulty only under the load from this step on
+  bool rareRouteOnly = false; // faulty only on the rare route
+  // Both versions:
+  bool peak = false;          // first token latency triples for a minute
+  bool reclaimWave = false;   // a tenth of the requests fails for two seconds
+  double slowEngineShare = 0; // of new-version requests, on a slow engine
 
   [[nodiscard]] bool IsBad() const
   {
@@ -41,14 +42,14 @@
 {
   bool completed = false;
   bool rolledBack = false;
-  double seconds = 0;                     // to the end
-  std::uint64_t faultyBeforeRollback = 0; // faulty answers before the verdict
-  std::uint64_t newAfterRollback = 0;     // sent to the new version after it
-  double secondsToZero = 0;               // verdict to the last one sent
+  double seconds = 0;                     // until the end
+  std::uint64_t faultyBeforeRollback = 0; // faulty responses
+  std::uint64_t newAfterRollback = 0;     // requests to the new version
+  double secondsToZero = 0;               // from rollback to the last of them
 };
 
-/** Runs one move. */
+/** Simulates one rollout; the same seed gives the same result. */
 RolloutResult
-SimulateRollout(const RolloutScenario& aScene, std::uint64_t aSeed);
+SimulateRollout(const RolloutScenario& aScenario, std::uint64_t aSeed);
 
 } // namespace toucanshed::test
