--- a/src/coord/AdaptiveLimit.h
+++ b/src/coord/AdaptiveLimit.h
@@ -1,5 +1,5 @@
 /** \file
- * How many requests this daemon keeps in flight on one engine.
+ * Limits the requests that this daemon has in flight on one engine.
  */
 #pragma once
 
@@ -8,34 +8,37 @@
 namespace toucanshed {
 
 /**
- * Additive increase, multiplicative decrease on whether first tokens come
- * within the target. Every daemon sees the same engine slow down and backs
- * off by itself, so the daemons share an engine without a word between them.
+ * Additive increase, multiplicative decrease (AIMD), controlled by whether
+ * first tokens come in time. Every daemon observes that the engine slows down
+ * and reduces its own limit. So the daemons share an engine without exchanging
+ * messages.
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class AdaptiveLimit
 {
 public:
-  /** \param aMost never more than this many in flight; at least 1. */
-  explicit AdaptiveLimit(double aMost)
-    : maxInFlight(std::max(1.0, aMost))
+  /** \param aMaxInFlight upper bound of the limit; values below 1 count as 1.
+   */
+  explicit AdaptiveLimit(double aMaxInFlight)
+    : maxInFlight(std::max(1.0, aMaxInFlight))
     , limit(this->maxInFlight)
   {
   }
 
-  void SetMaxInFlight(double aMost)
+  void SetMaxInFlight(double aMaxInFlight)
   {
-    this->maxInFlight = std::max(1.0, aMost);
+    this->maxInFlight = std::max(1.0, aMaxInFlight);
     this->limit = std::min(this->limit, this->maxInFlight);
   }
-  /** A first token came within the target. */
+  /** A first token came in time. */
   void RecordOnTime()
   {
     this->limit =
       std::min(this->maxInFlight, this->limit + kIncrease / this->limit);
   }
-  /** A first token came late, or the engine refused. */
+  /** A first token came late, or not at all, for example because the engine
+   * refused the request. */
   void RecordLate()
   {
     this->limit = std::max(1.0, this->limit * kDecreaseFactor);
--- a/src/coord/AppendQueue.cpp
+++ b/src/coord/AppendQueue.cpp
@@ -5,6 +5,7 @@
 namespace toucanshed {
 
 namespace {
+/** Low bits of a position: the index of the record in its batch. */
 constexpr unsigned kIndexBits = 12;
 static_assert(AppendQueue::kMaxRecords < (1U << kIndexBits));
 }
@@ -64,14 +65,16 @@
 std::size_t
 AppendQueue::UncommittedRecords() const
 {
-  const auto flying = this->inFlight ? this->inFlight->records_size() : 0;
-  return this->waiting.size() + static_cast<std::size_t>(flying);
+  const auto inFlightRecords =
+    this->inFlight ? this->inFlight->records_size() : 0;
+  return this->waiting.size() + static_cast<std::size_t>(inFlightRecords);
 }
 
 Position
 PositionOf(std::uint64_t aOffset, std::size_t aIndex)
 {
-  Invariant(aIndex < (1U << kIndexBits), "a batch fits into one offset");
+  Invariant(aIndex < (1U << kIndexBits),
+            "a record index fits into its bits of a position");
   return Position{ (aOffset << kIndexBits) | aIndex };
 }
 
--- a/src/coord/AppendQueue.h
+++ b/src/coord/AppendQueue.h
@@ -1,6 +1,6 @@
 /** \file
- * Records waiting to be appended to one log stream, in batches, each known to
- * have landed before the next is sent.
+ * Queue of records to append to one log stream. Records are sent in batches,
+ * and the next batch is sent only once the last one is known to be in the log.
  */
 #pragma once
 
@@ -13,18 +13,19 @@
 namespace toucanshed {
 
 /**
- * One batch is in flight at a time. Its fate is settled by the answer or by
- * reading the stream; until then the same batch with the same number is sent
- * again, so that no record is lost and none is folded twice, and records of
- * this writer land in the order in which they were added.
+ * One batch is in flight at a time. The reply to the append, or the batch read
+ * from the stream, confirms that it is in the log. Until then the same batch is
+ * sent again with the same sequence number. So no record is lost, none is
+ * applied twice (see BatchDeduplicator), and the records of this writer appear
+ * in the log in the order in which they were added.
  *
  * \code
  * queue.Add(record);
  * if (auto batch = queue.NextToSend()) { send(*batch); }
- * queue.Settled(sequenceSeenInTheLog);
+ * queue.MarkCommitted(sequenceReadFromLog);
  * \endcode
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class AppendQueue
 {
@@ -33,21 +34,22 @@
 
   void Add(records::Record aRecord);
 
-  /** The batch to send now, or the unsettled one again; nothing when there is
-   * none, or while one is on its way. */
+  /** The batch to send now: the uncommitted one again, or else a new one. Empty
+   * when no record is queued, or while a send is in progress. */
   std::optional<records::Batch> NextToSend();
-  /** The send has ended without proof of its fate; it may be sent again. */
+  /** The send has ended without confirmation; the batch may be sent again. */
   void AllowResend();
-  /** The batch with this number (and so all before it) is in the log. */
+  /** The batch with this sequence number, and so all before it, are in the log.
+   */
   void MarkCommitted(std::uint64_t aSequence);
 
   /** Records not yet known to be in the log. */
   [[nodiscard]] std::size_t UncommittedRecords() const;
   [[nodiscard]] const WriterId& Writer() const { return this->writer; }
 
-  /** Most records in one batch; also the positions in one offset. */
+  /** Maximum records in one batch. Bounds the record index in a position. */
   static constexpr std::size_t kMaxRecords = 1024;
-  /** Most bytes of records in one batch. */
+  /** Records are added to a batch until it has this many bytes. */
   static constexpr std::size_t kMaxBytes = 512 * 1024;
 
 private:
--- a/src/coord/BatchDeduplicator.h
+++ b/src/coord/BatchDeduplicator.h
@@ -1,5 +1,5 @@
 /** \file
- * Lets each batch of a log stream through once.
+ * Filters out repeated batches of a log stream.
  */
 #pragma once
 
@@ -12,21 +12,22 @@
 namespace toucanshed {
 
 /**
- * A writer numbers its batches and keeps one in flight, repeating it until it
- * is known to have landed. An append whose answer was lost can therefore land
- * twice, or late; the second copy carries a number already seen. Without this
- * filter the late copy of a claim would take its key again after the claim was
- * abandoned, and hold it until the window ends: every repeat of the key would
- * be told "may have run" of a request that never ran.
+ * A writer numbers its batches and has one in flight, which it repeats until
+ * the batch is known to be in the log. If the reply to an append is lost, the
+ * batch can therefore appear in the log twice, or late. The second copy has a
+ * sequence number that was already applied. Without this filter, the late copy
+ * of an abandoned claim would hold its key again until the window ends, and
+ * every repeat of the key would get "may have run" for a request that never
+ * ran.
  *
- * Thread safety: none; the owner of the stream's table serialises.
+ * Thread safety: none; the owner of the stream's table serialises calls.
  */
 class BatchDeduplicator
 {
 public:
-  /** Whether the batch is new; remembers it if so. */
+  /** Returns whether the batch is new, and records its sequence if so. */
   bool Accept(const WriterId& aWriter, std::uint64_t aSequence);
-  /** Highest sequence seen from the writer, 0 for none. */
+  /** Highest sequence accepted from the writer; 0 if there is none. */
   [[nodiscard]] std::uint64_t HighestSequence(const WriterId& aWriter) const;
 
   [[nodiscard]] const std::map<WriterId, std::uint64_t>& HighestSequences()
--- a/src/coord/ClaimCoordinator.cpp
+++ b/src/coord/ClaimCoordinator.cpp
@@ -17,7 +17,8 @@
                            const AttemptId& aAttempt,
                            TimePoint aNow)
 {
-  Invariant(this->attempts.count(aAttempt) == 0, "attempt ids are new");
+  Invariant(this->attempts.count(aAttempt) == 0,
+            "an attempt id is used only once");
   const auto keyTime = ParseKeyTime(CallerKeyOf(aKey));
   if (!keyTime || this->table.OutsideWindow(*keyTime, aNow)) {
     return KeyStatus::eOutsideWindow;
@@ -84,9 +85,9 @@
     return;
   }
   const ClaimEntry* entry = this->table.Find(attempt->key);
-  const bool first =
+  const bool isFirst =
     entry != nullptr && entry->attempt.value == aClaim.attempt();
-  attempt->stateMachine.ReadBack(first);
+  attempt->stateMachine.ReadBack(isFirst);
 }
 
 bool
@@ -115,7 +116,7 @@
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
   Invariant(attempt != nullptr && attempt->stateMachine.AbandonUnsent(),
-            "a withdrawal follows a dispatch");
+            "AbandonUnsent is called only after a dispatch");
   this->QueueAbandon(*attempt, aAttempt);
 }
 
@@ -131,27 +132,27 @@
 void
 ClaimCoordinator::QueueOutcome(const Attempt& aAttempt,
                                const AttemptId& aId,
-                               const ClaimOutcome& aAnswer)
+                               const ClaimOutcome& aOutcome)
 {
   records::Record record;
   records::ClaimOutcome* outcome = record.mutable_outcome();
   outcome->set_key(aAttempt.key.value);
   outcome->set_attempt(aId.value);
-  outcome->set_unclear(aAnswer.unclear);
-  outcome->set_status(aAnswer.status);
-  outcome->set_content_type(aAnswer.contentType);
-  outcome->set_body(aAnswer.body);
+  outcome->set_unclear(aOutcome.unclear);
+  outcome->set_status(aOutcome.status);
+  outcome->set_content_type(aOutcome.contentType);
+  outcome->set_body(aOutcome.body);
   this->queue.Add(std::move(record));
 }
 
 void
 ClaimCoordinator::Complete(const AttemptId& aAttempt,
-                           const ClaimOutcome& aAnswer)
+                           const ClaimOutcome& aOutcome)
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
   Invariant(attempt != nullptr && attempt->stateMachine.Complete(),
-            "an answer follows a dispatch");
-  this->QueueOutcome(*attempt, aAttempt, aAnswer);
+            "Complete is called only after a dispatch");
+  this->QueueOutcome(*attempt, aAttempt, aOutcome);
 }
 
 void
@@ -159,10 +160,10 @@
 {
   Attempt* attempt = this->FindAttempt(aAttempt);
   Invariant(attempt != nullptr && attempt->stateMachine.MarkUnclear(),
-            "a loss follows a dispatch");
-  ClaimOutcome answer;
-  answer.unclear = true;
-  this->QueueOutcome(*attempt, aAttempt, answer);
+            "MarkUnclear is called only after a dispatch");
+  ClaimOutcome outcome;
+  outcome.unclear = true;
+  this->QueueOutcome(*attempt, aAttempt, outcome);
 }
 
 void
--- a/src/coord/ClaimCoordinator.h
+++ b/src/coord/ClaimCoordinator.h
@@ -1,6 +1,6 @@
 /** \file
- * Runs each request that may not be repeated at most once, over all daemons,
- * with nothing but the platform's log between them.
+ * Runs each non-repeatable request at most once over all daemons. The daemons
+ * coordinate through the platform's log only.
  */
 #pragma once
 
@@ -15,67 +15,71 @@
 
 namespace toucanshed {
 
-/** What is known of a key when a request comes in. */
+/** The state of a key when a request arrives. */
 enum class KeyStatus
 {
-  eClaiming,        // nobody holds it; our claim is on its way
+  eClaiming,        // not held; our claim is being appended
   eInProgress,      // another attempt holds it and has not ended
-  eOutcomeRecorded, // it has ended; the recorded answer is the answer
+  eOutcomeRecorded, // it has ended; reply with the recorded outcome
   eRequestMismatch, // the key was used for a different request
-  eOutsideWindow,   // the key is too old or too far ahead to be run
+  eOutsideWindow,   // the key's time is too old or too far ahead
 };
 
 /**
- * A daemon's part in running requests at most once.
+ * One daemon's side of at-most-once execution.
  *
- * The order of steps is the safety: the claim is appended; only when it has
- * been read back as the first of its key may the request be sent, once, by
- * this daemon alone. A claim is never handed to another daemon, and a request
- * once sent is never sent again, whatever its end. An abandoned attempt is
- * never sent, even when its claim turns out to be first.
+ * Safety depends on the order of the steps. The claim is appended to the log.
+ * The request may be sent only after the claim has been read back as the first
+ * one of its key, only once, and only by this daemon. A claim is never
+ * transferred to another daemon. A request that was sent is never sent again,
+ * however it ended. An abandoned attempt is never sent, even if its claim turns
+ * out to be the first.
  *
  * \code
  * ClaimCoordinator claims(writer, Millis(3600000));
- * if (claims.Ask(key, print, attempt, now) == ClaimAsk::eClaiming) {
- *   // append what claims.Queue() holds, feed what is read to Apply, then:
- *   if (claims.Dispatch(attempt, now)) { ...send...; claims.Answered(...); }
+ * if (claims.TryClaim(key, print, attempt, now) == KeyStatus::eClaiming) {
+ *   // append the batches of claims.Queue(), pass read batches to Apply, then:
+ *   if (claims.Dispatch(attempt, now)) { ...send...; claims.Complete(...); }
  * }
  * \endcode
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class ClaimCoordinator
 {
 public:
+  /** \param aWindow see ClaimTable. */
   ClaimCoordinator(WriterId aWriter, Millis aWindow);
 
-  /** Takes a request in. Precondition: aAttempt is new. */
+  /** Queues a claim for aKey unless the key is held, recorded or outside the
+   * window. Precondition: aAttempt is new. */
   KeyStatus TryClaim(const IdempotencyKey& aKey,
                      Fingerprint aFingerprint,
                      const AttemptId& aAttempt,
                      TimePoint aNow);
 
-  /** Folds a batch read from the log. */
+  /** Applies a batch read from the log. */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
 
-  /** True exactly once, and only while the claim is owned and its key is
-   * within the window: the caller then sends the request. The window is
-   * checked here because a daemon can be paused for any time after the claim
-   * was read back; past the window the log may have forgotten the claim and
-   * another attempt may have run. */
+  /** Returns true at most once per attempt, and only while the claim is owned
+   * and its key is within the window; the caller then sends the request. The
+   * window is checked here because a daemon can be paused for any time after
+   * the claim was read back. Once the window has passed, the claim may have
+   * been dropped and another attempt may have run. */
   bool Dispatch(const AttemptId& aAttempt, TimePoint aNow);
-  /** True when the attempt had not been sent and now never will be: the
-   * answer "not run" is then true. */
+  /** Returns true if the attempt was not sent; it never will be from now on, so
+   * that the reply "not run" is correct. */
   bool Abandon(const AttemptId& aAttempt);
-  /** A dispatched attempt could not be sent: no byte has left this daemon.
-   * The key is free again. */
+  /** Abandons a dispatched attempt of which no byte has left this daemon. Its
+   * key becomes free again. */
   void AbandonUnsent(const AttemptId& aAttempt);
-  /** The back end's answer to a sent attempt. */
-  void Complete(const AttemptId& aAttempt, const ClaimOutcome& aAnswer);
-  /** A sent attempt ended in a way that leaves open whether it ran. */
+  /** Records the back end's response to a sent attempt. */
+  void Complete(const AttemptId& aAttempt, const ClaimOutcome& aOutcome);
+  /** Records that a sent attempt ended and that it is unknown whether it ran.
+   */
   void MarkUnclear(const AttemptId& aAttempt);
 
-  /** Forgets an attempt that has ended. */
+  /** Removes an attempt that has ended. */
   void Release(const AttemptId& aAttempt);
 
   [[nodiscard]] std::optional<ClaimPhase> PhaseOf(
@@ -99,7 +103,7 @@
   void QueueAbandon(const Attempt& aAttempt, const AttemptId& aId);
   void QueueOutcome(const Attempt& aAttempt,
                     const AttemptId& aId,
-                    const ClaimOutcome& aAnswer);
+                    const ClaimOutcome& aOutcome);
 
   ClaimTable table;
   BatchDeduplicator deduplicator;
--- a/src/coord/ClaimStateMachine.cpp
+++ b/src/coord/ClaimStateMachine.cpp
@@ -46,8 +46,8 @@
   {};
   using initial_state = Claiming;
 
-  // Dispatch leaves Owned and no row enters Owned again, so there can be no
-  // second one.
+  // DispatchRequested leaves Owned. Owned is entered from Claiming only, and no
+  // row enters Claiming, so there can be no second dispatch.
   struct transition_table // NOLINT: the name is the library's
     : boost::mpl::vector<
         Row<Claiming, ReadBackFirst, Owned, none, none>,
@@ -63,7 +63,8 @@
   template<typename Machine, typename AnyEvent>
   void no_transition(const AnyEvent&, Machine&, int)
   {
-    // An illegal step changes nothing; the caller sees it by the answer.
+    // An illegal transition changes nothing; process_event reports it to the
+    // caller.
   }
 };
 
@@ -136,28 +137,28 @@
   using Internal::StateMachineDefinition;
   const auto& machine = this->impl->machine;
   const int current = machine.current_state()[0];
-  const auto is = [&](auto aState) {
+  const auto isCurrent = [&](auto aState) {
     using State = decltype(aState);
     using Stt = Internal::MsmStateMachine::stt;
     return current == boost::msm::back::get_state_id<Stt, State>::value;
   };
-  if (is(StateMachineDefinition::Claiming{})) {
+  if (isCurrent(StateMachineDefinition::Claiming{})) {
     return ClaimPhase::eClaiming;
   }
-  if (is(StateMachineDefinition::Owned{})) {
+  if (isCurrent(StateMachineDefinition::Owned{})) {
     return ClaimPhase::eOwned;
   }
-  if (is(StateMachineDefinition::HeldByOther{})) {
+  if (isCurrent(StateMachineDefinition::HeldByOther{})) {
     return ClaimPhase::eHeldByOther;
   }
-  if (is(StateMachineDefinition::Running{})) {
+  if (isCurrent(StateMachineDefinition::Running{})) {
     return ClaimPhase::eRunning;
   }
-  if (is(StateMachineDefinition::Abandoned{})) {
+  if (isCurrent(StateMachineDefinition::Abandoned{})) {
     return ClaimPhase::eAbandoned;
   }
-  return is(StateMachineDefinition::Completed{}) ? ClaimPhase::eCompleted
-                                                 : ClaimPhase::eUnclear;
+  return isCurrent(StateMachineDefinition::Completed{}) ? ClaimPhase::eCompleted
+                                                        : ClaimPhase::eUnclear;
 }
 
 } // namespace toucanshed
--- a/src/coord/ClaimStateMachine.h
+++ b/src/coord/ClaimStateMachine.h
@@ -1,6 +1,5 @@
 /** \file
- * The life of one request that may not be repeated, at the daemon that took
- * it in.
+ * States of one non-repeatable request at the daemon that received it.
  */
 #pragma once
 
@@ -8,32 +7,32 @@
 
 namespace toucanshed {
 
-/** Where the request stands. */
+/** The state of the request. */
 enum class ClaimPhase
 {
-  eClaiming,    // the claim is on its way to the log
-  eOwned,       // read back as first; nothing sent yet
+  eClaiming,    // the claim is being appended to the log
+  eOwned,       // read back as the first claim; not sent yet
   eHeldByOther, // another claim was first
-  eRunning,     // handed to a back end, once
-  eAbandoned,   // given up before anything was sent; will never be sent
-  eCompleted,   // the back end's answer is known
-  eUnclear,     // sent, and its end is not known
+  eRunning,     // sent to a back end, once
+  eAbandoned,   // ended before it was sent; will never be sent
+  eCompleted,   // the back end's response is known
+  eUnclear,     // sent; whether it ran is unknown
 };
 
 /**
- * State machine (Boost.MSM) that allows one dispatch at most. Its methods
- * answer whether the step is legal in the present phase; an illegal step
- * changes nothing. A request abandoned while its claim is still on its way
- * stays abandoned when the claim lands first after all: that is what makes
- * the answer "not run" true for ever.
+ * State machine (Boost.MSM) that allows at most one dispatch. Each method
+ * returns whether the transition is legal in the current phase; an illegal
+ * transition changes nothing. A request that is abandoned while its claim is
+ * being appended stays abandoned even if the claim then becomes the first one
+ * in the log. Therefore the reply "not run" remains correct.
  *
  * \code
- * ClaimMachine machine;
+ * ClaimStateMachine machine;
  * machine.ReadBack(true);
  * if (machine.Dispatch()) { send(); }
  * \endcode
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class ClaimStateMachine
 {
@@ -43,12 +42,15 @@
   ClaimStateMachine(ClaimStateMachine&&) noexcept;
   ClaimStateMachine& operator=(ClaimStateMachine&&) noexcept;
 
+  /** The claim was read back from the log. \param aFirst whether it is the
+   * first one of its key. */
   bool ReadBack(bool aFirst);
   bool Dispatch();
   bool Abandon();
   bool Complete();
   bool MarkUnclear();
-  /** Back to abandoned: dispatched, but no byte could be sent. */
+  /** From running to abandoned: the request was dispatched, but no byte was
+   * sent. */
   bool AbandonUnsent();
 
   [[nodiscard]] ClaimPhase Phase() const;
--- a/src/coord/ClaimTable.h
+++ b/src/coord/ClaimTable.h
@@ -1,5 +1,6 @@
 /** \file
- * Who may run which request that may not be repeated, folded from the log.
+ * Which attempt may run each non-repeatable request, computed by applying the
+ * log.
  */
 #pragma once
 
@@ -14,16 +15,16 @@
 
 namespace toucanshed {
 
-/** The recorded end of a claimed request. */
+/** The recorded outcome of a claimed request. */
 struct ClaimOutcome
 {
-  bool unclear = false; // it may have run; nobody knows
+  bool unclear = false; // unknown whether it ran
   unsigned status = 0;
   std::string contentType;
   std::string body;
 };
 
-/** One key's state. */
+/** The state of one key. */
 struct ClaimEntry
 {
   Fingerprint fingerprint;
@@ -35,20 +36,21 @@
 };
 
 /**
- * The same on every daemon that has folded the same offsets: the first claim
- * of a key stands; later ones are no-ops until the claimant abandons it.
+ * Every daemon that has applied the same offsets has the same table. The first
+ * claim of a key holds it; later claims have no effect until the claimant
+ * abandons the first one.
  *
- * Time in the fold is the latest time written into a record so far, which all
- * daemons see alike; a clock of their own would let them forget a key at
- * different offsets and disagree on who was first.
+ * Keys expire by the latest time written into any claim record so far, which is
+ * the same on all daemons. With their own clocks, daemons would remove a key at
+ * different offsets and disagree on which claim was the first.
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class ClaimTable
 {
 public:
-  /** \param aWindow how long a key is kept, from the time it carries. It must
-   *  be shorter than the log keeps records. */
+  /** \param aWindow how long a key is retained, from the time it carries. It
+   *  must be shorter than the retention of the log. */
   explicit ClaimTable(Millis aWindow);
 
   void ApplyClaim(Position aPosition,
@@ -57,14 +59,15 @@
   void ApplyAbandon(const records::Abandon& aAbandon);
   void ApplyOutcome(const records::ClaimOutcome& aOutcome);
 
-  /** Null when nobody holds the key. */
+  /** Null when no claim holds the key. */
   [[nodiscard]] const ClaimEntry* Find(const IdempotencyKey& aKey) const;
-  /** Whether a key of this time is too old, or too far ahead, to be run. */
+  /** Whether the time of a key is too old, or too far ahead, for the request to
+   * run. */
   [[nodiscard]] bool OutsideWindow(TimePoint aKeyTime, TimePoint aNow) const;
 
   [[nodiscard]] std::size_t Size() const { return this->entries.size(); }
 
-  /** A key may run ahead of a daemon's clock by this much. */
+  /** The time of a key may be ahead of a daemon's clock by this much. */
   static constexpr Millis kMaxClockSkew{ 300000 };
 
 private:
@@ -76,7 +79,7 @@
   std::set<std::pair<TimePoint, IdempotencyKey>> byKeyTime;
 };
 
-/** The caller's own key within a claim's key "TEAM/SERVICE/KEY". */
+/** The caller's part of a claim key, which has the form "TEAM/SERVICE/KEY". */
 std::string_view
 CallerKeyOf(const IdempotencyKey& aKey);
 
--- a/src/coord/ControlReader.cpp
+++ b/src/coord/ControlReader.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** The last position that an offset can have. */
+/** The last position within an offset. */
 Position
 LastPositionAt(std::uint64_t aOffset)
 {
@@ -79,9 +79,9 @@
 ControlReader::ApplyBufferedBatches()
 {
   this->awaitingSnapshot = false;
-  const std::vector<BufferedBatch> behind = std::move(this->bufferedBatches);
+  const std::vector<BufferedBatch> buffered = std::move(this->bufferedBatches);
   this->bufferedBatches.clear();
-  for (const BufferedBatch& batch : behind) {
+  for (const BufferedBatch& batch : buffered) {
     this->ApplyBatch(batch.offset, batch.batch);
   }
 }
@@ -90,9 +90,10 @@
 ControlReader::LoadSnapshot(const records::ControlSnapshot& aSnapshot)
 {
   this->Restore(aSnapshot);
-  // A snapshot that was overtaken by a later one may leave a gap between what
-  // it covers and what the log still has; only one that reaches up to there
-  // makes the state whole.
+  // The log may have been truncated by a later snapshot than this one. Then
+  // records are missing between the offset that this one covers and the
+  // earliest offset in the log. The state is complete only if there is no such
+  // gap.
   if (this->awaitingSnapshot && this->appliedOffset >= this->requiredOffset) {
     this->ApplyBufferedBatches();
   }
--- a/src/coord/ControlReader.h
+++ b/src/coord/ControlReader.h
@@ -1,6 +1,6 @@
 /** \file
- * Reads the control stream in order, also when the log has dropped its
- * beginning.
+ * Applies the control stream in order, even if the log has dropped the oldest
+ * records.
  */
 #pragma once
 
@@ -13,38 +13,38 @@
 namespace toucanshed {
 
 /**
- * A daemon that starts reading at an offset above the first has missed
- * records. Judged without them, a later change would look as if it were based
- * on nothing and be refused here while others accept it. So until a snapshot
- * is read, batches are kept aside; the snapshot is then taken in and the
- * batches behind what it covers are folded on top.
+ * A daemon that starts to read above the first offset has missed records.
+ * Without them, a later change would seem to be based on an unknown revision:
+ * this daemon would refuse it while the others accept it. Therefore batches are
+ * buffered until a snapshot has been read. The snapshot is then restored and
+ * the batches after the offset that it covers are applied.
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class ControlReader
 {
 public:
   explicit ControlReader(WriterId aWriter);
 
-  /** Tells where the stream now begins, before the first batch.
-   *  \param aEarliest the earliest offset the log still has. */
+  /** Sets where the stream begins. Call it before the first batch is applied.
+   *  \param aEarliest the earliest offset that the log still has. */
   void SetEarliestOffset(std::uint64_t aEarliest);
-  /** Folds one batch. Offsets come in rising order; a batch at or below the
-   * newest folded is ignored. */
+  /** Applies one batch. Offsets must be passed in ascending order; a batch at
+   * or below AppliedOffset() is ignored. */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
-  /** Takes state in, from the log or, when that cannot be read, a peer. State
-   * older than what is known is ignored. */
+  /** Restores a snapshot from the log or, if the log cannot be read, from a
+   * peer. A snapshot older than the present state is ignored. */
   void LoadSnapshot(const records::ControlSnapshot& aSnapshot);
 
-  /** Newest offset folded. */
+  /** Latest offset applied. */
   [[nodiscard]] std::uint64_t AppliedOffset() const
   {
     return this->appliedOffset;
   }
-  /** Whether the state is whole, and not waiting for a snapshot. */
+  /** Whether the state is complete, that is, not waiting for a snapshot. */
   [[nodiscard]] bool IsComplete() const { return !this->awaitingSnapshot; }
   [[nodiscard]] const ControlTable& Table() const { return this->table; }
-  /** A snapshot of the state and of the writers seen. */
+  /** A snapshot of the state and of the highest sequence of each writer. */
   [[nodiscard]] records::ControlSnapshot Snapshot() const;
   AppendQueue& Queue() { return this->queue; }
 
@@ -63,9 +63,10 @@
   BatchDeduplicator deduplicator;
   AppendQueue queue;
   bool awaitingSnapshot = false;
-  /** While waiting: the state must cover this offset before reading goes on. */
+  /** While awaiting a snapshot: the offset that the state must cover before
+   * batches are applied. */
   std::uint64_t requiredOffset = 0;
-  /** Newest offset folded, whether or not its batch was new. */
+  /** Latest offset applied, including offsets of duplicate batches. */
   std::uint64_t appliedOffset = 0;
   std::vector<BufferedBatch> bufferedBatches;
 };
--- a/src/coord/ControlTable.cpp
+++ b/src/coord/ControlTable.cpp
@@ -38,16 +38,17 @@
         ", but revision " + std::to_string(base.value) + " is in force" });
     return;
   }
-  const auto complaints = ValidateDocument(aChange.document(), "document");
-  if (!complaints.empty()) {
+  const auto errors = ValidateDocument(aChange.document(), "document");
+  if (!errors.empty()) {
     this->AddResult(ChangeResult{
-      aChange.change_id(), false, base, FormatValidationErrors(complaints) });
+      aChange.change_id(), false, base, FormatValidationErrors(errors) });
     return;
   }
-  for (auto& [position, move] : this->rollouts) {
-    if (move.service == service && move.status == RolloutStatus::eRunning) {
-      move.status = RolloutStatus::eSuperseded;
-      move.reason = "revision " + std::to_string(aPosition.value);
+  for (auto& [position, rollout] : this->rollouts) {
+    if (rollout.service == service &&
+        rollout.status == RolloutStatus::eRunning) {
+      rollout.status = RolloutStatus::eSuperseded;
+      rollout.reason = "revision " + std::to_string(aPosition.value);
     }
   }
   this->services[service] = ServiceEntry{ aPosition, aChange.document() };
@@ -62,24 +63,24 @@
   if (!aChange.document().has_move()) {
     return;
   }
-  const config::Move& asked = aChange.document().move();
+  const config::Move& requested = aChange.document().move();
   RolloutState state;
   state.rollout = aPosition;
   state.service = ServiceId{ aChange.document().service() };
-  state.from = VersionId{ asked.from() };
-  state.to = VersionId{ asked.to() };
+  state.from = VersionId{ requested.from() };
+  state.to = VersionId{ requested.to() };
   state.started = TimePoint{ static_cast<std::int64_t>(aChange.written_ms()) };
   this->rollouts[aPosition] = state;
   while (this->rollouts.size() > kMaxRetained) {
-    const auto ended = std::find_if(
-      this->rollouts.begin(), this->rollouts.end(), [&](const auto& aMove) {
-        const ServiceEntry* entry = this->Find(aMove.second.service);
-        return entry == nullptr || entry->revision != aMove.first;
+    const auto replaced = std::find_if(
+      this->rollouts.begin(), this->rollouts.end(), [&](const auto& aRollout) {
+        const ServiceEntry* entry = this->Find(aRollout.second.service);
+        return entry == nullptr || entry->revision != aRollout.first;
       });
-    if (ended == this->rollouts.end()) {
+    if (replaced == this->rollouts.end()) {
       return;
     }
-    this->rollouts.erase(ended);
+    this->rollouts.erase(replaced);
   }
 }
 
@@ -133,9 +134,9 @@
 }
 
 void
-ControlTable::AddResult(ChangeResult aVerdict)
+ControlTable::AddResult(ChangeResult aResult)
 {
-  this->changeResults.push_back(std::move(aVerdict));
+  this->changeResults.push_back(std::move(aResult));
   if (this->changeResults.size() > kMaxRetained) {
     this->changeResults.pop_front();
   }
@@ -144,9 +145,9 @@
 std::optional<ChangeResult>
 ControlTable::ResultOf(const std::string& aChangeId) const
 {
-  for (const ChangeResult& verdict : this->changeResults) {
-    if (verdict.changeId == aChangeId) {
-      return verdict;
+  for (const ChangeResult& result : this->changeResults) {
+    if (result.changeId == aChangeId) {
+      return result;
     }
   }
   return std::nullopt;
@@ -158,20 +159,20 @@
   records::ControlSnapshot snapshot;
   snapshot.set_covers(this->appliedPosition.value);
   for (const auto& [service, entry] : this->services) {
-    auto* kept = snapshot.add_entries();
-    kept->set_revision(entry.revision.value);
-    *kept->mutable_document() = entry.document;
-  }
-  for (const auto& [position, move] : this->rollouts) {
-    records::RolloutState* kept = snapshot.add_moves();
-    kept->set_move(position.value);
-    kept->set_service(move.service.value);
-    kept->set_from(move.from.value);
-    kept->set_to(move.to.value);
-    kept->set_step(move.step);
-    kept->set_status(static_cast<std::uint32_t>(move.status));
-    kept->set_reason(move.reason);
-    kept->set_started_ms(static_cast<std::uint64_t>(move.started.ms));
+    auto* saved = snapshot.add_entries();
+    saved->set_revision(entry.revision.value);
+    *saved->mutable_document() = entry.document;
+  }
+  for (const auto& [position, rollout] : this->rollouts) {
+    records::RolloutState* saved = snapshot.add_moves();
+    saved->set_move(position.value);
+    saved->set_service(rollout.service.value);
+    saved->set_from(rollout.from.value);
+    saved->set_to(rollout.to.value);
+    saved->set_step(rollout.step);
+    saved->set_status(static_cast<std::uint32_t>(rollout.status));
+    saved->set_reason(rollout.reason);
+    saved->set_started_ms(static_cast<std::uint64_t>(rollout.started.ms));
   }
   return snapshot;
 }
@@ -185,62 +186,64 @@
   this->appliedPosition = Position{ aSnapshot.covers() };
   this->services.clear();
   this->rollouts.clear();
-  for (const auto& kept : aSnapshot.entries()) {
-    this->services[ServiceId{ kept.document().service() }] =
-      ServiceEntry{ Position{ kept.revision() }, kept.document() };
-  }
-  for (const records::RolloutState& kept : aSnapshot.moves()) {
-    RolloutState move;
-    move.rollout = Position{ kept.move() };
-    move.service = ServiceId{ kept.service() };
-    move.from = VersionId{ kept.from() };
-    move.to = VersionId{ kept.to() };
-    move.step = kept.step();
-    move.status = static_cast<RolloutStatus>(kept.status());
-    move.reason = kept.reason();
-    move.started = TimePoint{ static_cast<std::int64_t>(kept.started_ms()) };
-    this->rollouts[move.rollout] = move;
+  for (const auto& saved : aSnapshot.entries()) {
+    this->services[ServiceId{ saved.document().service() }] =
+      ServiceEntry{ Position{ saved.revision() }, saved.document() };
+  }
+  for (const records::RolloutState& saved : aSnapshot.moves()) {
+    RolloutState rollout;
+    rollout.rollout = Position{ saved.move() };
+    rollout.service = ServiceId{ saved.service() };
+    rollout.from = VersionId{ saved.from() };
+    rollout.to = VersionId{ saved.to() };
+    rollout.step = saved.step();
+    rollout.status = static_cast<RolloutStatus>(saved.status());
+    rollout.reason = saved.reason();
+    rollout.started =
+      TimePoint{ static_cast<std::int64_t>(saved.started_ms()) };
+    this->rollouts[rollout.rollout] = rollout;
   }
 }
 
 std::vector<VersionShare>
 EffectiveShares(const ServiceEntry& aEntry,
-                const RolloutState* aNewestMove,
-                bool aTakenBack)
+                const RolloutState* aLatestRollout,
+                bool aRolledBack)
 {
   std::vector<VersionShare> shares;
-  if (aNewestMove == nullptr) {
+  if (aLatestRollout == nullptr) {
     for (const config::Version& version : aEntry.document.versions()) {
       shares.push_back(
         VersionShare{ VersionId{ version.name() }, version.share_percent() });
     }
     return shares;
   }
-  constexpr std::uint32_t kWhole = 100;
-  std::uint32_t moved = 0;
-  const bool back =
-    aTakenBack || aNewestMove->status == RolloutStatus::eRolledBack;
-  if (aNewestMove->status == RolloutStatus::eDone) {
-    moved = kWhole;
-  } else if (!back) {
-    moved = NewVersionPercentAt(aNewestMove->step,
-                                aEntry.document.move().canary_percent());
-  }
-  shares.push_back(VersionShare{ aNewestMove->to, moved });
-  shares.push_back(VersionShare{ aNewestMove->from, kWhole - moved });
+  constexpr std::uint32_t kTotalPercent = 100;
+  std::uint32_t newPercent = 0;
+  const bool rolledBack =
+    aRolledBack || aLatestRollout->status == RolloutStatus::eRolledBack;
+  if (aLatestRollout->status == RolloutStatus::eDone) {
+    newPercent = kTotalPercent;
+  } else if (!rolledBack) {
+    newPercent = NewVersionPercentAt(aLatestRollout->step,
+                                     aEntry.document.move().canary_percent());
+  }
+  shares.push_back(VersionShare{ aLatestRollout->to, newPercent });
+  shares.push_back(
+    VersionShare{ aLatestRollout->from, kTotalPercent - newPercent });
   return shares;
 }
 
 VersionId
 ChooseVersion(const std::vector<VersionShare>& aShares, std::uint64_t aHash)
 {
-  constexpr std::uint64_t kSlots = 100;
-  std::uint64_t slot = aHash % kSlots;
+  constexpr std::uint64_t kBuckets = 100;
+  std::uint64_t bucket = aHash % kBuckets;
   for (const VersionShare& share : aShares) {
-    if (slot < share.percent) {
+    if (bucket < share.percent) {
       return share.version;
     }
-    slot -= share.percent;
+    bucket -= share.percent;
   }
   return aShares.empty() ? VersionId{} : aShares.back().version;
 }
--- a/src/coord/ControlTable.h
+++ b/src/coord/ControlTable.h
@@ -1,5 +1,5 @@
 /** \file
- * The configuration in force and the moves under way, folded from the log.
+ * The active configuration and the rollouts, computed by applying the log.
  */
 #pragma once
 
@@ -16,29 +16,30 @@
 
 namespace toucanshed {
 
-/** One service's document and the revision that brought it into force. */
+/** The active document of a service and the revision that activated it. */
 struct ServiceEntry
 {
   Position revision;
   config::ServiceDocument document;
 };
 
-/** What the fold made of a change that an operator sent. */
+/** The result of applying a configuration change from an operator. */
 struct ChangeResult
 {
   std::string changeId;
   bool accepted = false;
-  Position revision; // of this change, or of the one that won
+  Position revision; // of this change if accepted, else the active one
   std::string reason;
 };
 
 /**
- * A pure fold: the same records in the same order give the same state on
- * every daemon. A change is accepted only on the revision it was based on, so
- * of two racing operators the first in the log wins and the other is refused.
- * Steps of a move are accepted only in order and never after its end.
+ * A deterministic state machine: the same records in the same order give the
+ * same state on every daemon. A change is accepted only if the revision that it
+ * is based on is still active. Of two concurrent changes to a service, the
+ * first one in the log is accepted and the other is refused. The steps of a
+ * rollout are accepted only in order, and never after its end.
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class ControlTable
 {
@@ -56,26 +57,27 @@
   {
     return this->rollouts;
   }
-  /** The move that now runs for a service, or null. */
+  /** The running rollout of a service, or null. */
   [[nodiscard]] const RolloutState* FindRunningRollout(
     const ServiceId& aService) const;
-  /** What became of a change, while it is among the newest kept. */
+  /** The result of a change; empty if it is unknown or no longer retained. */
   [[nodiscard]] std::optional<ChangeResult> ResultOf(
     const std::string& aChangeId) const;
-  /** Position of the newest record folded. */
+  /** Position of the latest record applied. */
   [[nodiscard]] Position AppliedPosition() const
   {
     return this->appliedPosition;
   }
 
-  /** Everything up to Applied, for daemons that start after the log has
-   * dropped the records. */
+  /** The state up to AppliedPosition(), for daemons that start after the log
+   * has dropped the records. */
   [[nodiscard]] records::ControlSnapshot Snapshot() const;
-  /** Takes a snapshot in; ignored when it covers less than is known, so a
-   * late one never takes the configuration back. */
+  /** Restores a snapshot. It is ignored unless it covers more than
+   * AppliedPosition(), so that a late one never reverts the configuration. */
   void Restore(const records::ControlSnapshot& aSnapshot);
 
-  /** Ended moves kept for operators, and verdicts kept for `apply`. */
+  /** Rollouts retained for operators, and change results retained for `apply`.
+   * The rollout of a service's active revision is never dropped. */
   static constexpr std::size_t kMaxRetained = 1000;
 
 private:
@@ -83,7 +85,7 @@
   void ApplyRolloutStep(const records::RolloutStep& aStep);
   void ApplyRolloutEnd(const records::RolloutEnd& aEnd);
   void StartRollout(Position aPosition, const records::ConfigChange& aChange);
-  void AddResult(ChangeResult aVerdict);
+  void AddResult(ChangeResult aResult);
 
   std::map<ServiceId, ServiceEntry> services;
   std::map<Position, RolloutState> rollouts;
@@ -98,16 +100,19 @@
   std::uint32_t percent = 0;
 };
 
-/** Shares now in force for a service: those of its document, as its newest
- * move has changed them.
- * \param aTakenBack whether this daemon has heard that the move is taken back,
- *   even if the log does not say so yet. Thread safety: pure function. */
+/** The present traffic shares of a service: those of its document, or those of
+ * its latest rollout if there is one.
+ * \param aLatestRollout null if the service has none.
+ * \param aRolledBack whether this daemon has received a notice that the rollout
+ *   is rolled back, even if the log does not record it yet.
+ * Thread safety: pure function. */
 std::vector<VersionShare>
 EffectiveShares(const ServiceEntry& aEntry,
-                const RolloutState* aNewestMove,
-                bool aTakenBack);
+                const RolloutState* aLatestRollout,
+                bool aRolledBack);
 
-/** The version for a request, the same for the same hash on every daemon. */
+/** Selects the version for a request. The same hash gives the same version on
+ * every daemon. */
 VersionId
 ChooseVersion(const std::vector<VersionShare>& aShares, std::uint64_t aHash);
 
--- a/src/coord/EventSplitter.cpp
+++ b/src/coord/EventSplitter.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/** Length of the first event with its blank line; npos while it is open. */
+/** Length of the first event with its blank line; npos while it is incomplete.
+ */
 std::size_t
 EventLength(std::string_view aText)
 {
-  const auto plain = aText.find("\n\n");
-  const auto carriage = aText.find("\r\n\r\n");
-  if (plain == std::string_view::npos && carriage == std::string_view::npos) {
+  const auto lf = aText.find("\n\n");
+  const auto crlf = aText.find("\r\n\r\n");
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) {
     return std::string_view::npos;
   }
-  return plain < carriage ? plain + 2 : carriage + 4;
+  return lf < crlf ? lf + 2 : crlf + 4;
 }
 
 std::optional<std::uint64_t>
--- a/src/coord/EventSplitter.h
+++ b/src/coord/EventSplitter.h
@@ -1,5 +1,6 @@
 /** \file
- * Cuts the bytes of an event stream into whole events and checks their order.
+ * Splits the bytes of an event stream into complete events and checks their
+ * order.
  */
 #pragma once
 
@@ -10,7 +11,7 @@
 
 namespace toucanshed {
 
-/** One whole event with the blank line that ends it. */
+/** One complete event, including the blank line that ends it. */
 struct StreamEvent
 {
   std::string bytes;
@@ -18,22 +19,23 @@
 };
 
 /**
- * An engine may stop in the middle of an event. Half an event that reached the
- * caller would be completed by the next engine's first bytes and read as one
- * event; therefore only whole events leave here. Ids must grow by one: a gap
- * is an event that was lost, a repeat one that the caller already has.
+ * An engine may stop in the middle of an event. If the caller received the
+ * first part, it would join it with the first bytes of the next engine and
+ * parse both as one event. Therefore only complete events are returned. Ids
+ * must increase by one: a gap means that an event was lost, and a repeated id
+ * means that the caller already has the event.
  *
  * \code
- * splitter.Add(piece);
+ * splitter.Add(chunk);
  * while (auto event = splitter.Next()) { forward(event->bytes); }
  * \endcode
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class EventSplitter
 {
 public:
-  /** \param aAfter id of the last event that the caller has. */
+  /** \param aAfter id of the last event that the caller has received. */
   explicit EventSplitter(std::optional<std::uint64_t> aAfter = std::nullopt)
     : lastId(aAfter)
   {
@@ -41,28 +43,29 @@
 
   void Add(std::string_view aBytes) { this->pending += aBytes; }
 
-  /** The next whole event; nothing while none is complete or after a fault.
-   * Repeats of events that were given out are passed over. */
+  /** The next complete event. Empty while there is none, and always once
+   * Broken(). Events that were already returned are skipped. */
   std::optional<StreamEvent> Next();
 
-  /** An id was missing, so what follows must not reach the caller. */
+  /** An id was missing or an event was larger than kMaxEventBytes. What follows
+   * must not reach the caller. */
   [[nodiscard]] bool Broken() const { return this->broken; }
-  /** Bytes of an event that has not ended. */
+  /** Whether bytes of an incomplete event are buffered. */
   [[nodiscard]] bool HasPartialEvent() const { return !this->pending.empty(); }
   [[nodiscard]] std::optional<std::uint64_t> LastId() const
   {
     return this->lastId;
   }
-  /** Events given out. */
+  /** Number of events returned. */
   [[nodiscard]] std::uint64_t ReturnedCount() const
   {
     return this->returnedCount;
   }
 
-  /** Forgets the unfinished rest; a new engine goes on after Last(). */
+  /** Discards an incomplete event. A new engine continues after LastId(). */
   void DiscardPartialEvent() { this->pending.clear(); }
 
-  /** An unfinished event larger than this is a fault of the engine. */
+  /** An incomplete event larger than this is a fault of the engine. */
   static constexpr std::size_t kMaxEventBytes = 1U << 20U;
 
 private:
--- a/src/coord/FairQueue.cpp
+++ b/src/coord/FairQueue.cpp
@@ -11,10 +11,10 @@
 }
 
 FairQueue::ClassQueue&
-FairQueue::QueueOf(LatencyClass aUrgency)
+FairQueue::QueueOf(LatencyClass aLatencyClass)
 {
-  return aUrgency == LatencyClass::eInteractive ? this->interactive
-                                                : this->batch;
+  return aLatencyClass == LatencyClass::eInteractive ? this->interactive
+                                                     : this->batch;
 }
 
 double
@@ -27,54 +27,57 @@
 bool
 FairQueue::Push(QueueItem aItem)
 {
-  ClassQueue& lane = this->QueueOf(aItem.latencyClass);
-  auto& list = lane.teams[aItem.team];
+  ClassQueue& queue = this->QueueOf(aItem.latencyClass);
+  auto& list = queue.teams[aItem.team];
   if (list.size() >= kMaxPerTeam) {
     return false;
   }
-  double& last = lane.lastVirtualFinish[aItem.team];
-  const double start = std::max(lane.virtualTime, last);
+  double& last = queue.lastVirtualFinish[aItem.team];
+  const double start = std::max(queue.virtualTime, last);
   last = start + aItem.cost / this->WeightOf(aItem.team);
   list.push_back(QueuedRequest{ std::move(aItem), last });
-  ++lane.size;
+  ++queue.size;
   ++this->size;
   return true;
 }
 
 std::optional<QueueItem>
-FairQueue::PopFrom(ClassQueue& aLane,
+FairQueue::PopFrom(ClassQueue& aQueue,
                    const std::function<bool(const QueueItem&)>& aCanStart)
 {
-  // A team whose turn it is may have no place to go to now; it must not hold
-  // up the teams behind it, who may.
-  std::vector<std::pair<double, std::list<QueuedRequest>*>> turns;
-  for (auto& [team, list] : aLane.teams) {
+  // The first request of the next team may have no slot to run in now. It must
+  // not block the teams behind it, whose requests may have one.
+  std::vector<std::pair<double, std::list<QueuedRequest>*>> candidates;
+  for (auto& [team, list] : aQueue.teams) {
     if (!list.empty()) {
-      turns.emplace_back(list.front().virtualFinish, &list);
+      candidates.emplace_back(list.front().virtualFinish, &list);
     }
   }
-  std::sort(
-    turns.begin(), turns.end(), [](const auto& aLeft, const auto& aRight) {
-      return aLeft.first < aRight.first;
+  std::sort(candidates.begin(),
+            candidates.end(),
+            [](const auto& aLeft, const auto& aRight) {
+              return aLeft.first < aRight.first;
+            });
+  const auto candidate = std::find_if(
+    candidates.begin(), candidates.end(), [&](const auto& aCandidate) {
+      return aCanStart(aCandidate.second->front().item);
     });
-  const auto turn =
-    std::find_if(turns.begin(), turns.end(), [&](const auto& aTurn) {
-      return aCanStart(aTurn.second->front().item);
-    });
-  if (turn == turns.end()) {
+  if (candidate == candidates.end()) {
     return std::nullopt;
   }
-  std::list<QueuedRequest>* best = turn->second;
+  std::list<QueuedRequest>* best = candidate->second;
   QueueItem item = std::move(best->front().item);
-  aLane.virtualTime = std::max(aLane.virtualTime, best->front().virtualFinish);
+  aQueue.virtualTime =
+    std::max(aQueue.virtualTime, best->front().virtualFinish);
   best->pop_front();
-  --aLane.size;
+  --aQueue.size;
   --this->size;
-  if (aLane.size == 0) {
-    // Nobody waits: the past gives no claim on the future.
-    aLane.lastVirtualFinish.clear();
-    aLane.teams.clear();
-    aLane.virtualTime = 0;
+  if (aQueue.size == 0) {
+    // The queue is empty: service received earlier must not affect the order of
+    // later requests.
+    aQueue.lastVirtualFinish.clear();
+    aQueue.teams.clear();
+    aQueue.virtualTime = 0;
   }
   return item;
 }
@@ -111,8 +114,8 @@
     item = this->PopFrom(this->batch, aCanStart);
   }
   if (item) {
-    const bool report = item->latencyClass == LatencyClass::eBatch;
-    this->sinceBatch = report ? 0 : this->sinceBatch + 1;
+    const bool isBatch = item->latencyClass == LatencyClass::eBatch;
+    this->sinceBatch = isBatch ? 0 : this->sinceBatch + 1;
   }
   return item;
 }
@@ -121,8 +124,8 @@
 FairQueue::RemoveExpired(TimePoint aNow)
 {
   std::vector<QueueItem> expired;
-  for (ClassQueue* lane : { &this->interactive, &this->batch }) {
-    for (auto& [team, list] : lane->teams) {
+  for (ClassQueue* queue : { &this->interactive, &this->batch }) {
+    for (auto& [team, list] : queue->teams) {
       for (auto waiting = list.begin(); waiting != list.end();) {
         if (waiting->item.deadline > aNow) {
           ++waiting;
@@ -130,7 +133,7 @@
         }
         expired.push_back(std::move(waiting->item));
         waiting = list.erase(waiting);
-        --lane->size;
+        --queue->size;
         --this->size;
       }
     }
@@ -141,15 +144,15 @@
 bool
 FairQueue::Cancel(std::uint64_t aTicket)
 {
-  for (ClassQueue* lane : { &this->interactive, &this->batch }) {
-    for (auto& [team, list] : lane->teams) {
+  for (ClassQueue* queue : { &this->interactive, &this->batch }) {
+    for (auto& [team, list] : queue->teams) {
       const auto found = std::find_if(
         list.begin(), list.end(), [&](const QueuedRequest& aWaiting) {
           return aWaiting.item.ticket == aTicket;
         });
       if (found != list.end()) {
         list.erase(found);
-        --lane->size;
+        --queue->size;
         --this->size;
         return true;
       }
@@ -159,14 +162,15 @@
 }
 
 double
-FairQueue::EstimateAhead(const TeamId& aTeam, LatencyClass aUrgency) const
+FairQueue::EstimateAhead(const TeamId& aTeam, LatencyClass aLatencyClass) const
 {
-  const ClassQueue& lane =
-    aUrgency == LatencyClass::eInteractive ? this->interactive : this->batch;
+  const ClassQueue& queue = aLatencyClass == LatencyClass::eInteractive
+                              ? this->interactive
+                              : this->batch;
   double weights = this->WeightOf(aTeam);
   double own = 0;
   double others = 0;
-  for (const auto& [team, list] : lane.teams) {
+  for (const auto& [team, list] : queue.teams) {
     if (list.empty()) {
       continue;
     }
@@ -177,10 +181,10 @@
       others += static_cast<double>(list.size());
     }
   }
-  // While its own requests are served the team gets its part of the places.
+  // While its own requests are served, the team gets its share of the slots.
   const double byShare = (own + 1) * weights / this->WeightOf(aTeam) - 1;
   const double ahead = std::min(byShare, own + others);
-  return aUrgency == LatencyClass::eInteractive
+  return aLatencyClass == LatencyClass::eInteractive
            ? ahead
            : ahead + static_cast<double>(this->interactive.size);
 }
--- a/src/coord/FairQueue.h
+++ b/src/coord/FairQueue.h
@@ -1,6 +1,6 @@
 /** \file
- * Requests that wait for a place, fair between teams, quick help before
- * reports.
+ * Queue of requests that wait for a slot: fair between teams, interactive
+ * requests before batch requests.
  */
 #pragma once
 
@@ -18,49 +18,56 @@
 enum class LatencyClass
 {
   eInteractive, // a person waits for the first token
-  eBatch,       // may wait, must be complete
+  eBatch,       // may wait, but must complete
 };
 
-/** One waiting request. */
+/** One queued request. */
 struct QueueItem
 {
   std::uint64_t ticket = 0;
   TeamId team;
   LatencyClass latencyClass = LatencyClass::eInteractive;
-  double cost = 1; // tokens, estimated
+  double cost = 1; // estimated tokens
   TimePoint arrived;
-  TimePoint deadline; // for a place; later it is refused
+  TimePoint deadline; // for getting a slot; refused afterwards
 };
 
 /**
- * Start-time fair queueing between teams by weight: a team that floods waits
- * behind its own requests, and what a team leaves unused the others take.
- * Quick help goes first; but a report that has waited half of the time it has
- * takes every kReportTurn-th place, so that reports finish through a long peak.
+ * Start-time fair queueing between teams by weight. A team that sends too many
+ * requests only delays its own, and the other teams use the share that a team
+ * leaves idle.
  *
- * Thread safety: none; the owner serialises.
+ * Interactive requests go first. When the oldest batch request of a team has
+ * waited at least half of the time between its arrival and its deadline, every
+ * kBatchInterval-th slot goes to a batch request, so that batch requests
+ * complete during a long peak.
+ *
+ * Thread safety: none; the owner serialises calls.
  */
 class FairQueue
 {
 public:
+  /** Sets the weight of a team; values below 1 count as 1. */
   void SetWeight(const TeamId& aTeam, double aWeight);
 
-  /** \return false at the bound of the team's queue: refuse it. */
+  /** \return false when the team's queue is full; the caller then refuses the
+   * request. */
   bool Push(QueueItem aItem);
-  /** Takes out the request whose turn it is, if aCanStart says that it can
-   * start now; otherwise it stays first. */
+  /** Removes and returns the next request that aCanStart accepts. Only the
+   * first request of each team is considered; the others keep their position.
+   */
   std::optional<QueueItem> PopIf(
     TimePoint aNow,
     const std::function<bool(const QueueItem&)>& aCanStart);
-  /** Takes out what can no longer get a place in time. */
+  /** Removes and returns the requests whose deadline has passed. */
   std::vector<QueueItem> RemoveExpired(TimePoint aNow);
-  /** Takes a request out, if it still waits. */
+  /** Removes a request. \return false when it is no longer queued. */
   bool Cancel(std::uint64_t aTicket);
 
   [[nodiscard]] std::size_t Size() const { return this->size; }
-  /** Requests that would be served before a new one of this team. */
+  /** Estimated number of requests served before a new one of this team. */
   [[nodiscard]] double EstimateAhead(const TeamId& aTeam,
-                                     LatencyClass aUrgency) const;
+                                     LatencyClass aLatencyClass) const;
 
   static constexpr std::size_t kMaxPerTeam = 2000;
   static constexpr std::uint64_t kBatchInterval = 4;
@@ -69,7 +76,7 @@
   struct QueuedRequest
   {
     QueueItem item;
-    double virtualFinish = 0; // virtual time at which its team would be served
+    double virtualFinish = 0; // virtual time that orders the teams
   };
   struct ClassQueue
   {
@@ -79,10 +86,10 @@
     std::size_t size = 0;
   };
 
-  ClassQueue& QueueOf(LatencyClass aUrgency);
+  ClassQueue& QueueOf(LatencyClass aLatencyClass);
   [[nodiscard]] double WeightOf(const TeamId& aTeam) const;
   std::optional<QueueItem> PopFrom(
-    ClassQueue& aLane,
+    ClassQueue& aQueue,
     const std::function<bool(const QueueItem&)>& aCanStart);
   [[nodiscard]] bool BatchIsDue(TimePoint aNow) const;
 
--- a/src/coord/KeyTime.cpp
+++ b/src/coord/KeyTime.cpp
@@ -39,8 +39,8 @@
   const auto dash = aKey.find('-');
   if (dash != std::string_view::npos && aKey.size() <= kMaxKeyBytes) {
     const auto seconds = ParseInteger(aKey.substr(0, dash), 10);
-    constexpr std::int64_t kMostSeconds = 1LL << 40;
-    if (seconds && *seconds >= 0 && *seconds < kMostSeconds) {
+    constexpr std::int64_t kMaxSeconds = 1LL << 40;
+    if (seconds && *seconds >= 0 && *seconds < kMaxSeconds) {
       return TimePoint{ *seconds * 1000 };
     }
   }
--- a/src/coord/KeyTime.h
+++ b/src/coord/KeyTime.h
@@ -1,5 +1,5 @@
 /** \file
- * The time that an Idempotency-Key carries.
+ * Parses the time that an Idempotency-Key carries.
  */
 #pragma once
 
@@ -11,10 +11,12 @@
 namespace toucanshed {
 
 /**
- * When the key was made: a UUID of version 7 (RFC 9562), or seconds since the
- * epoch followed by '-' and anything. A key must carry its time because the
- * log keeps records for a limited time: a key repeated after its claim is
- * forgotten would run a second time if its age could not be seen.
+ * Returns the time at which a key was created. The key is a UUID of version 7
+ * (RFC 9562), or seconds since the epoch followed by '-' and any text;
+ * otherwise ErrorCode::eInvalid is returned. A key must carry its time because
+ * the log retains records for a limited time only: if the age of a key were
+ * unknown, a request repeated after its claim was dropped would run a second
+ * time.
  *
  * Thread safety: pure function.
  */
--- a/src/coord/Membership.cpp
+++ b/src/coord/Membership.cpp
@@ -9,9 +9,11 @@
 
 namespace {
 
+/** An update is sent this many times the bit width of the cluster size. */
 constexpr std::uint32_t kSpreadFactor = 3;
 
-/** A later status of the same incarnation overrides an earlier one. */
+/** Within one incarnation, a status of higher severity overrides a lower one.
+ */
 int
 Severity(peer::MemberStatus aStatus)
 {
@@ -82,9 +84,11 @@
 void
 Membership::AttachUpdates(peer::Envelope& aEnvelope)
 {
-  const auto most = kSpreadFactor * static_cast<std::uint32_t>(
-                                      std::bit_width(this->members.size() + 1));
-  // The least sent first, so that old news does not hold up new.
+  const auto maxSends =
+    kSpreadFactor *
+    static_cast<std::uint32_t>(std::bit_width(this->members.size() + 1));
+  // Sends the least often sent updates first, so that old updates do not delay
+  // new ones.
   std::vector<std::pair<std::uint32_t, std::string_view>> queue;
   queue.reserve(this->pendingUpdates.size());
   for (const auto& [id, sent] : this->pendingUpdates) {
@@ -104,7 +108,7 @@
     }
     *aEnvelope.add_members() =
       id == this->self.id() ? this->self : found->second.member;
-    if (sent + 1 >= most) {
+    if (sent + 1 >= maxSends) {
       this->pendingUpdates.erase(id);
     } else {
       this->pendingUpdates[id] = sent + 1;
@@ -113,12 +117,12 @@
 }
 
 void
-Membership::Refute(const peer::Member& aClaim)
+Membership::Refute(const peer::Member& aOwnEntry)
 {
   const bool wrong =
-    aClaim.status() == peer::SUSPECT || aClaim.status() == peer::DEAD;
-  if (wrong && aClaim.incarnation() >= this->self.incarnation()) {
-    this->self.set_incarnation(aClaim.incarnation() + 1);
+    aOwnEntry.status() == peer::SUSPECT || aOwnEntry.status() == peer::DEAD;
+  if (wrong && aOwnEntry.incarnation() >= this->self.incarnation()) {
+    this->self.set_incarnation(aOwnEntry.incarnation() + 1);
     this->QueueUpdate(this->self.id());
   }
 }
@@ -152,13 +156,13 @@
 Membership::MarkSuspect(const std::string& aId, TimePoint aNow)
 {
   const auto found = this->members.find(aId);
-  const bool doubtful = found != this->members.end() &&
-                        (found->second.member.status() == peer::ALIVE ||
-                         found->second.member.status() == peer::LEAVING);
-  if (!doubtful) {
+  const bool canBeSuspected = found != this->members.end() &&
+                              (found->second.member.status() == peer::ALIVE ||
+                               found->second.member.status() == peer::LEAVING);
+  if (!canBeSuspected) {
     return;
   }
-  // A leaving daemon that falls silent has left.
+  // A leaving daemon that stops replying has left.
   const bool left = found->second.member.status() == peer::LEAVING;
   found->second.member.set_status(left ? peer::DEAD : peer::SUSPECT);
   found->second.since = aNow;
@@ -218,9 +222,9 @@
       view.since = aNow;
       this->QueueUpdate(member->first);
     }
-    const bool forget = view.member.status() == peer::DEAD &&
-                        aNow - view.since >= this->timing.forgetAfter;
-    member = forget ? this->members.erase(member) : std::next(member);
+    const bool expired = view.member.status() == peer::DEAD &&
+                         aNow - view.since >= this->timing.forgetAfter;
+    member = expired ? this->members.erase(member) : std::next(member);
   }
   std::erase_if(this->relayedProbes, [&](const auto& aRelay) {
     return aNow - aRelay.second.since >= this->timing.deadAfter;
@@ -265,8 +269,8 @@
 void
 Membership::ProbeSeed(std::vector<OutgoingEnvelope>& aOut)
 {
-  // One contact a tick, among those that no live member has: this is how a
-  // cluster forms and how two halves find each other after a cut.
+  // Each tick probes one seed address that belongs to no live member. This is
+  // how a cluster forms, and how two parts find each other after a partition.
   for (std::size_t tries = 0; tries < this->seedAddresses.size(); ++tries) {
     const std::string& address =
       this->seedAddresses[this->nextSeed++ % this->seedAddresses.size()];
@@ -306,11 +310,11 @@
 {
   auto ack = this->MakeEnvelope(peer::Envelope::ACK, aProbe.sequence());
   const auto known = this->members.find(aProbe.from().id());
-  const bool thoughtGone = known != this->members.end() &&
-                           (known->second.member.status() == peer::SUSPECT ||
-                            known->second.member.status() == peer::DEAD);
-  if (thoughtGone) {
-    // Tells the sender what is said of it, so that it can refute.
+  const bool presumedGone = known != this->members.end() &&
+                            (known->second.member.status() == peer::SUSPECT ||
+                             known->second.member.status() == peer::DEAD);
+  if (presumedGone) {
+    // Includes the sender's own entry, so that the sender can refute it.
     *ack.add_members() = known->second.member;
   }
   aOut.push_back({ aProbe.from().address(), std::move(ack) });
@@ -341,10 +345,11 @@
   if (relay == this->relayedProbes.end()) {
     return;
   }
-  auto passed = this->MakeEnvelope(peer::Envelope::ACK, relay->second.sequence);
-  passed.set_target(aAck.from().id());
-  *passed.add_members() = aAck.from();
-  aOut.push_back({ relay->second.address, std::move(passed) });
+  auto relayedAck =
+    this->MakeEnvelope(peer::Envelope::ACK, relay->second.sequence);
+  relayedAck.set_target(aAck.from().id());
+  *relayedAck.add_members() = aAck.from();
+  aOut.push_back({ relay->second.address, std::move(relayedAck) });
   this->relayedProbes.erase(relay);
 }
 
--- a/src/coord/Membership.h
+++ b/src/coord/Membership.h
@@ -1,6 +1,6 @@
 /** \file
- * Which daemons are alive, by probing a few at random: the work and the bytes
- * of a daemon do not grow with the number of daemons.
+ * Detects which daemons are alive by probing a few of them at random. The CPU
+ * time and the bytes per daemon do not grow with the number of daemons.
  */
 #pragma once
 
@@ -15,68 +15,74 @@
 
 namespace toucanshed {
 
-/** How fast a silent daemon is found. */
+/** Timeouts of failure detection. */
 struct MembershipTiming
 {
-  Millis probeTimeout{ 300 };   // then others are asked to probe it
-  Millis suspectAfter{ 900 };   // then it is suspected
-  Millis deadAfter{ 3000 };     // suspected this long, it is dead
-  Millis forgetAfter{ 120000 }; // dead this long, it is forgotten
-  Millis syncInterval{ 5000 };  // whole views are exchanged no more often
+  Millis probeTimeout{ 300 };   // then other daemons are asked to probe it
+  Millis suspectAfter{ 900 };   // after the probe; then it is suspected
+  Millis deadAfter{ 3000 };     // after the suspicion; then it is dead
+  Millis forgetAfter{ 120000 }; // after its death; then it is removed
+  Millis syncInterval{ 5000 };  // minimum time between full view exchanges
 };
 
-/** A message to be sent to a peer port. */
+/** A message and the peer address that it is sent to. */
 struct OutgoingEnvelope
 {
   std::string address;
   peer::Envelope envelope;
 };
 
-/** One daemon as this one sees it. */
+/** The local view of another daemon. */
 struct MemberView
 {
   peer::Member member;
-  TimePoint since; // of its present status
+  TimePoint since; // when its status last changed
 };
 
 /**
- * Probing after SWIM (Das, Gupta, Motivala 2002): every tick one member is
- * probed; when it does not answer, two others are asked to probe it, so that a
- * cut between two daemons alone makes nobody suspect; a suspect is dead only
- * after a time in which it can refute. A daemon that was merely paused refutes
- * with a higher incarnation when it hears that it is suspected.
+ * Failure detection after SWIM (Das, Gupta, Motivala 2002). Every tick probes
+ * one member. When it does not reply in time, two other members are asked to
+ * probe it, so that a broken link between two daemons does not make either of
+ * them suspect. A suspect is declared dead only after a period in which it can
+ * refute: a daemon that was merely paused receives the suspicion in a message
+ * and refutes it with a higher incarnation.
  *
- * News rides on the probes, a few at a time. When many daemons start at once
- * that is too slow, so each message carries a hash of the sender's view, and
- * two whose views differ exchange them whole, no more often than syncEvery.
+ * Member updates are piggybacked on the probes, a few per message. This is too
+ * slow when many daemons start at once. Therefore each message carries a hash
+ * of the sender's view, and two daemons whose views differ exchange their full
+ * views, at most once per syncInterval.
  *
- * Silence is suspicion only: nothing here protects a promise, and two daemons
- * with different views do at worst the same work twice.
+ * A timeout is only a suspicion, and no safety guarantee depends on this class.
+ * At worst, two daemons with different views do the same work twice.
  *
- * Thread safety: none; the owner serialises.
+ * Thread safety: none; the owner serialises calls.
  */
 class Membership
 {
 public:
   Membership(peer::Member aSelf, MembershipTiming aTiming, Random aRandom);
 
-  /** Peer ports that the platform's list names now. The list lags, so this
-   * only makes the daemon try there; ports it no longer names are not tried
-   * any more, or the daemons replaced over weeks would crowd out new ones. */
+  /** Replaces the seeds by the peer addresses that the platform's list contains
+   * now. The list lags, so a seed is only an address to probe. Addresses that
+   * are no longer on the list are dropped: otherwise the addresses of daemons
+   * replaced over weeks would delay the probes of new ones. */
   void SetSeedAddresses(std::vector<std::string> aAddresses);
-  /** Call at a steady period. \return messages to send. */
+  /** Advances failure detection. Call it at a constant interval.
+   * \return messages to send. */
   std::vector<OutgoingEnvelope> Tick(TimePoint aNow);
-  /** Takes a message in. \return messages to send. */
+  /** Processes a received message. \return messages to send. */
   std::vector<OutgoingEnvelope> Receive(const peer::Envelope& aEnvelope,
                                         TimePoint aNow);
-  /** This daemon is stopping and says so. */
+  /** Announces that this daemon is leaving. */
   void Leave();
 
-  /** Peer ports of some daemons that are alive, at random. */
+  /** Peer addresses of up to aCount random other daemons that are alive. */
   std::vector<std::string> RandomAliveAddresses(std::size_t aCount);
-  /** Ids of daemons that are alive or merely suspected, with this one. */
+  /** Sorted ids of this daemon and of all others that are not dead: alive,
+   * suspected or leaving. */
   [[nodiscard]] std::vector<std::string> LiveMembers() const;
-  /** Ids of daemons that may own work: those alive that are not leaving. */
+  /** Sorted ids of the daemons that may own work: those that are alive and not
+   * leaving. */
   [[nodiscard]] std::vector<std::string> EligibleOwners() const;
   [[nodiscard]] const std::map<std::string, MemberView>& Others() const
   {
@@ -84,8 +90,9 @@
   }
   [[nodiscard]] const peer::Member& Self() const { return this->self; }
 
-  /** Updates about members in one message. */
+  /** Member updates per message, at most. */
   static constexpr std::size_t kMaxUpdatesPerMessage = 8;
+  /** Other members asked to probe one that does not reply. */
   static constexpr std::size_t kIndirectProbes = 2;
 
 private:
@@ -105,7 +112,7 @@
   peer::Envelope MakeEnvelope(peer::Envelope::Kind aKind,
                               std::uint64_t aSequence);
   void Merge(const peer::Member& aMember, TimePoint aNow);
-  void Refute(const peer::Member& aClaim);
+  void Refute(const peer::Member& aOwnEntry);
   void QueueUpdate(const std::string& aId);
   void AttachUpdates(peer::Envelope& aEnvelope);
   void CheckProbes(TimePoint aNow, std::vector<OutgoingEnvelope>& aOut);
@@ -134,7 +141,7 @@
   std::map<std::string, MemberView> members;
   std::map<std::string, std::uint32_t> pendingUpdates; // id -> times sent
   std::vector<std::string> seedAddresses;
-  std::vector<std::string> probeOrder; // probing order of this round
+  std::vector<std::string> probeOrder; // members left to probe in this round
   std::map<std::uint64_t, Probe> probes;
   std::map<std::uint64_t, RelayedProbe> relayedProbes;
   std::uint64_t lastSequence = 0;
--- a/src/coord/ResponseAssembler.cpp
+++ b/src/coord/ResponseAssembler.cpp
@@ -27,10 +27,10 @@
 ResponseAssembler::Tokens() const
 {
   std::vector<std::string> tokens;
-  std::size_t at = 0;
+  std::size_t offset = 0;
   for (const std::uint32_t length : this->tokenLengths) {
-    tokens.push_back(this->text.substr(at, length));
-    at += length;
+    tokens.push_back(this->text.substr(offset, length));
+    offset += length;
   }
   return tokens;
 }
--- a/src/coord/ResponseAssembler.h
+++ b/src/coord/ResponseAssembler.h
@@ -1,6 +1,6 @@
 /** \file
- * Puts one answer together out of an engine's stream, letting through only
- * what belongs to it, each part once and in order.
+ * Assembles one response from engine streams. Only tokens of this response are
+ * delivered, each once and in order.
  */
 #pragma once
 
@@ -13,43 +13,49 @@
 
 namespace toucanshed {
 
-/** What to do with an event of the stream. */
+/** How to handle an event of the stream. */
 enum class EventAction
 {
-  eDeliver,     // the next token of this answer
-  eIgnore,      // another attempt's, or a token that was delivered already
-  eAbortStream, // tokens are missing: this stream cannot be trusted further
+  eDeliver,     // the next token of this response
+  eIgnore,      // of another attempt, or already delivered
+  eAbortStream, // tokens are missing; the rest is unusable
 };
 
 /**
- * An engine may send late or crossed events on a connection that carried
- * another attempt, or repeat tokens. A caller would see someone else's words
- * or stuttering text. Every event names its attempt and offset; one with
- * another attempt is dropped, a known offset is dropped, and a gap ends the
- * stream, which is then resumed elsewhere from the contiguous prefix.
+ * An engine may send late events of another attempt on a reused connection, or
+ * repeat tokens. The caller would then receive text of another caller's
+ * response or repeated text. Every event therefore carries its attempt and its
+ * offset. An event of another attempt, or with an offset already delivered, is
+ * ignored. A gap ends the stream, which is then resumed on another engine after
+ * the contiguous prefix.
  *
- * Thread safety: none; one answer belongs to one coroutine.
+ * Thread safety: none; each response is used by one coroutine.
  */
 class ResponseAssembler
 {
 public:
-  /** Expects events of this attempt from now on; the prefix is kept. */
+  /** Accepts only events of aAttempt from now on. The tokens so far are kept.
+   */
   void BeginAttempt(AttemptId aAttempt) { this->attempt = std::move(aAttempt); }
 
-  /** Judges a token; on eDeliver it has been appended to Text. */
+  /** Checks a token. If the result is eDeliver, it has been appended to Text().
+   */
   EventAction AddToken(std::string_view aAttempt,
                        std::uint64_t aOffset,
                        std::string_view aToken);
-  /** Judges the end; eDeliver says that the answer is whole. */
+  /** Checks the end event. eDeliver: the response is complete, with aCount
+   * tokens. */
   EventAction CheckEnd(std::string_view aAttempt, std::uint64_t aCount) const;
 
   [[nodiscard]] std::uint64_t TokenCount() const { return this->tokenCount; }
   [[nodiscard]] const std::string& Text() const { return this->text; }
-  /** The tokens one by one. */
+  /** The tokens so far, one by one. */
   [[nodiscard]] std::vector<std::string> Tokens() const;
-  /** Hash over the tokens so far, to recognise the same prefix elsewhere. */
+  /** Hash over the tokens so far; identifies the same prefix on other daemons.
+   */
   [[nodiscard]] std::uint64_t PrefixHash() const { return this->hash; }
-  /** Events dropped because they were another attempt's or known already. */
+  /** Tokens ignored because they were of another attempt or already delivered.
+   */
   [[nodiscard]] std::uint64_t IgnoredCount() const
   {
     return this->ignoredCount;
--- a/src/coord/Router.cpp
+++ b/src/coord/Router.cpp
@@ -12,18 +12,19 @@
 constexpr std::uint64_t kPointsPerEngine = 8;
 constexpr std::size_t kRingCandidates = 2;
 constexpr std::size_t kRandomCandidates = 2;
-/** Looked at while all before them would make the request wait. */
+/** Random candidates compared while every candidate so far would queue the
+ * request. */
 constexpr std::size_t kMaxRandomCandidates = 12;
-/** Prompt tokens an engine computes in a millisecond, for estimates; each
- * engine's slowness, as seen here, corrects what this gets wrong. */
+/** Prompt tokens that an engine prefills in a millisecond. This is an estimate;
+ * the observed slowness of each engine corrects its error. */
 constexpr double kPrefillTokensPerMs = 20;
 constexpr double kDecodeStepMs = 5;
 constexpr double kCrossZoneMs = 2;
-/** Weight of a new observation in the running means. */
+/** Weight of a new observation in the exponential moving averages. */
 constexpr double kSmoothingFactor = 0.1;
 constexpr double kMaxSlowness = 50;
-/** Back ends looked at when the candidates are full; the bound keeps a choice
- * in a full fleet as cheap as in an empty one. */
+/** Back ends scanned when all candidates are full. The bound keeps a choice in
+ * a full fleet as cheap as in an empty one. */
 constexpr std::size_t kMaxScannedEngines = 32;
 
 } // namespace
@@ -37,11 +38,11 @@
 double
 Router::MaxInFlight(const EngineReport& aReport) const
 {
-  // Twice its fair part of the slots: daemons are not loaded alike, and the
-  // adaptive limit takes back what proves too much.
-  const auto part =
+  // Twice the fair share of the slots, because the load of the daemons differs.
+  // AdaptiveLimit reduces it when first tokens come late.
+  const auto fairShare =
     static_cast<double>(aReport.slots) / static_cast<double>(this->daemonCount);
-  return std::max(1.0, std::ceil(2 * part));
+  return std::max(1.0, std::ceil(2 * fairShare));
 }
 
 void
@@ -60,21 +61,21 @@
 Router::Upsert(const EngineReport& aReport)
 {
   auto& slot = this->engines[aReport.id];
-  const bool fresh =
+  const bool isNew =
     slot == nullptr || slot->report.incarnation != aReport.incarnation;
-  if (fresh) {
+  if (isNew) {
     slot = std::make_unique<Engine>();
     slot->concurrencyLimit = AdaptiveLimit(this->MaxInFlight(aReport));
   }
-  const bool moved = fresh || slot->report.version != aReport.version ||
-                     slot->report.service != aReport.service;
+  const bool groupChanged = isNew || slot->report.version != aReport.version ||
+                            slot->report.service != aReport.service;
   const bool leaving = aReport.leaving || slot->report.leaving;
   slot->report = aReport;
   slot->report.leaving = leaving;
   ++slot->reportCount;
   slot->inFlightSinceReport = 0;
   slot->endedSinceReport = 0;
-  if (moved) {
+  if (groupChanged) {
     this->RebuildGroups();
   }
 }
@@ -110,25 +111,26 @@
 }
 
 Engine*
-Router::FindEngine(const std::string& aLife)
+Router::FindEngine(const std::string& aIncarnationKey)
 {
-  const auto slash = aLife.rfind('/');
-  const auto found = this->engines.find(InstanceId{ aLife.substr(0, slash) });
+  const auto slash = aIncarnationKey.rfind('/');
+  const auto found =
+    this->engines.find(InstanceId{ aIncarnationKey.substr(0, slash) });
   const bool same = found != this->engines.end() &&
-                    IncarnationKeyOf(found->second->report) == aLife;
+                    IncarnationKeyOf(found->second->report) == aIncarnationKey;
   return same ? found->second.get() : nullptr;
 }
 
 const Engine*
-Router::FindIncarnation(const std::string& aLife) const
+Router::FindIncarnation(const std::string& aIncarnationKey) const
 {
-  return const_cast<Router*>(this)->FindEngine(aLife);
+  return const_cast<Router*>(this)->FindEngine(aIncarnationKey);
 }
 
 bool
-Router::MarkLeaving(const std::string& aLife)
+Router::MarkLeaving(const std::string& aIncarnationKey)
 {
-  Engine* engine = this->FindEngine(aLife);
+  Engine* engine = this->FindEngine(aIncarnationKey);
   if (engine == nullptr || engine->report.leaving) {
     return false;
   }
@@ -137,9 +139,9 @@
 }
 
 void
-Router::MarkDown(const std::string& aLife, TimePoint aUntil)
+Router::MarkDown(const std::string& aIncarnationKey, TimePoint aUntil)
 {
-  if (Engine* engine = this->FindEngine(aLife)) {
+  if (Engine* engine = this->FindEngine(aIncarnationKey)) {
     engine->downUntil = aUntil;
   }
 }
@@ -163,8 +165,9 @@
   if (aRequest.excluded.empty() && this->reserved.empty()) {
     return true;
   }
-  const std::string life = IncarnationKeyOf(aEngine.report);
-  return aRequest.excluded.count(life) == 0 && this->reserved.count(life) == 0;
+  const std::string incarnationKey = IncarnationKeyOf(aEngine.report);
+  return aRequest.excluded.count(incarnationKey) == 0 &&
+         this->reserved.count(incarnationKey) == 0;
 }
 
 double
@@ -177,14 +180,15 @@
     aEngine.EstimatedLoad(static_cast<double>(this->daemonCount));
   const double ahead = std::max(0.0, load + 1 - slots);
   const double queue = ahead * aEngine.meanServiceMs / slots;
-  const auto left = static_cast<double>(aRequest.promptTokens -
-                                        (aCached ? aRequest.prefixTokens : 0));
-  const double prefill = left / kPrefillTokensPerMs;
-  const bool near = aEngine.report.zone == aRequest.zone;
-  // A fuller batch steps slower; this also spreads load while no queue forms.
+  const auto prefillTokens = static_cast<double>(
+    aRequest.promptTokens - (aCached ? aRequest.prefixTokens : 0));
+  const double prefill = prefillTokens / kPrefillTokensPerMs;
+  const bool sameZone = aEngine.report.zone == aRequest.zone;
+  // A decode step takes longer when the batch is fuller. This term also spreads
+  // the load while no engine has a queue.
   const double batch = kDecodeStepMs * (1 + std::min(1.0, load / slots));
   return (queue + prefill + batch) * aEngine.slowness +
-         (near ? 0 : kCrossZoneMs);
+         (sameZone ? 0 : kCrossZoneMs);
 }
 
 Engine*
@@ -194,7 +198,7 @@
                  double& aExpectedMs)
 {
   Engine* best = nullptr;
-  const auto weigh = [&](Engine* aEngine, bool aCached) {
+  const auto consider = [&](Engine* aEngine, bool aCached) {
     if (!this->CanAccept(*aEngine, aRequest, aNow)) {
       return;
     }
@@ -213,30 +217,31 @@
                          return aPoint.hash < aHash;
                        });
     const Engine* previous = nullptr;
-    std::size_t weighed = 0;
+    std::size_t considered = 0;
     for (std::size_t steps = 0;
-         steps < kPointsPerEngine && weighed < kRingCandidates;
+         steps < kPointsPerEngine && considered < kRingCandidates;
          ++steps) {
       if (point == aGroup.ring.end()) {
         point = aGroup.ring.begin();
       }
       if (point->engine != previous) {
-        weigh(point->engine, true);
+        consider(point->engine, true);
         previous = point->engine;
-        ++weighed;
+        ++considered;
       }
       ++point;
     }
   }
-  const auto queues = [&] {
+  const auto bestWouldQueue = [&] {
     return best == nullptr ||
            best->EstimatedLoad(static_cast<double>(this->daemonCount)) + 1 >
              static_cast<double>(best->report.slots);
   };
   for (std::size_t i = 0;
-       i < kRandomCandidates || (queues() && i < kMaxRandomCandidates);
+       i < kRandomCandidates || (bestWouldQueue() && i < kMaxRandomCandidates);
        ++i) {
-    weigh(aGroup.engines[this->random.NextBelow(aGroup.engines.size())], false);
+    consider(aGroup.engines[this->random.NextBelow(aGroup.engines.size())],
+             false);
   }
   return best;
 }
@@ -325,9 +330,9 @@
 }
 
 std::optional<EngineChoice>
-Router::PickIncarnation(const std::string& aLife, TimePoint aNow)
+Router::PickIncarnation(const std::string& aIncarnationKey, TimePoint aNow)
 {
-  Engine* engine = this->FindEngine(aLife);
+  Engine* engine = this->FindEngine(aIncarnationKey);
   if (engine == nullptr || engine->report.leaving || engine->downUntil > aNow) {
     return std::nullopt;
   }
@@ -335,7 +340,7 @@
 }
 
 void
-Router::Finish(const EngineChoice& aChoice, const EngineResult& aEnding)
+Router::Finish(const EngineChoice& aChoice, const EngineResult& aResult)
 {
   Engine* engine = this->FindEngine(aChoice.IncarnationKey());
   if (engine == nullptr) {
@@ -347,20 +352,20 @@
   } else {
     ++engine->endedSinceReport;
   }
-  if (aEnding.completed) {
+  if (aResult.completed) {
     engine->meanServiceMs +=
-      kSmoothingFactor * (aEnding.totalMs - engine->meanServiceMs);
+      kSmoothingFactor * (aResult.totalMs - engine->meanServiceMs);
   }
-  if (aEnding.firstTokenMs < 0) {
+  if (aResult.firstTokenMs < 0) {
     engine->concurrencyLimit.RecordLate();
     return;
   }
   if (aChoice.expectedFirstTokenMs > 0) {
-    const double ratio = aEnding.firstTokenMs / aChoice.expectedFirstTokenMs;
+    const double ratio = aResult.firstTokenMs / aChoice.expectedFirstTokenMs;
     engine->slowness +=
       kSmoothingFactor * (ratio * engine->slowness - engine->slowness);
     engine->slowness = std::clamp(engine->slowness, 1.0, kMaxSlowness);
-    const bool late = ratio > 2 && aEnding.firstTokenMs > 100;
+    const bool late = ratio > 2 && aResult.firstTokenMs > 100;
     late ? engine->concurrencyLimit.RecordLate()
          : engine->concurrencyLimit.RecordOnTime();
   }
@@ -371,17 +376,17 @@
                               const VersionId& aVersion,
                               TimePoint aNow) const
 {
-  std::vector<std::string> lives;
+  std::vector<std::string> incarnationKeys;
   const auto found = this->groups.find({ aService, aVersion });
   if (found == this->groups.end()) {
-    return lives;
+    return incarnationKeys;
   }
   for (const Engine* engine : found->second.engines) {
     if (!engine->report.leaving && engine->downUntil <= aNow) {
-      lives.push_back(IncarnationKeyOf(engine->report));
+      incarnationKeys.push_back(IncarnationKeyOf(engine->report));
     }
   }
-  return lives;
+  return incarnationKeys;
 }
 
 Router::VersionCapacity
@@ -389,19 +394,19 @@
                    const VersionId& aVersion,
                    TimePoint aNow) const
 {
-  VersionCapacity supply;
+  VersionCapacity capacity;
   const auto found = this->groups.find({ aService, aVersion });
   if (found == this->groups.end()) {
-    return supply;
+    return capacity;
   }
   for (const Engine* engine : found->second.engines) {
     if (engine->report.leaving || engine->downUntil > aNow) {
       continue;
     }
-    supply.slots += static_cast<double>(engine->report.slots);
-    supply.waiting += static_cast<double>(engine->report.waiting);
+    capacity.slots += static_cast<double>(engine->report.slots);
+    capacity.waiting += static_cast<double>(engine->report.waiting);
   }
-  return supply;
+  return capacity;
 }
 
 std::vector<EngineReport>
--- a/src/coord/Router.h
+++ b/src/coord/Router.h
@@ -18,7 +18,8 @@
 
 namespace toucanshed {
 
-/** How the router chooses; the plain ones are baselines for benchmarks. */
+/** How the router selects an engine. All but eExpectedFirstToken are baselines
+ * for benchmarks. */
 enum class RoutingPolicy
 {
   eExpectedFirstToken,
@@ -27,20 +28,20 @@
   eLeastOutstanding,
 };
 
-/** What the router needs to know of a request. */
+/** The properties of a request that routing depends on. */
 struct RouteRequest
 {
   ServiceId service;
   VersionId version;
-  ZoneId zone;                    // of this daemon
-  std::uint64_t prefixHash = 0;   // 0: nothing worth caching
-  std::uint64_t prefixTokens = 0; // tokens of that prefix
-  std::uint64_t promptTokens = 0; // tokens of the whole prompt
-  std::set<std::string> excluded; // lives already tried
-  double reservedSlots = 0;       // slots that must stay free on the engine
+  ZoneId zone;                    // zone of this daemon
+  std::uint64_t prefixHash = 0;   // 0: no prefix worth caching
+  std::uint64_t prefixTokens = 0; // length of that prefix in tokens
+  std::uint64_t promptTokens = 0; // length of the whole prompt in tokens
+  std::set<std::string> excluded; // incarnation keys already tried
+  double reservedSlots = 0;       // slots to leave free on the engine
 };
 
-/** A place taken on a back end; given back through Finish. */
+/** A slot taken on a back end. The caller releases it with Router::Finish. */
 struct EngineChoice
 {
   InstanceId id;
@@ -48,7 +49,7 @@
   std::string address;
   VersionId version;
   double expectedFirstTokenMs = 0;
-  std::uint64_t reportNumber = 0; // the engine's report that it was chosen by
+  std::uint64_t reportNumber = 0; // reports received when it was chosen
 
   [[nodiscard]] std::string IncarnationKey() const
   {
@@ -60,19 +61,23 @@
 struct EngineResult
 {
   bool completed = false;
-  double firstTokenMs = -1; // below zero: none came
+  double firstTokenMs = -1; // negative: no token was received
   double totalMs = 0;
 };
 
 /**
- * Looks at a few candidates only, so the time of a choice does not grow with
- * the number of engines: the first two on a hash ring by prompt prefix, where
- * every daemon sends the same prefix and so finds it cached, and two at
- * random. Of these the one with the shortest expected first token wins: its
- * queue by report and own count, the prompt left to compute, distance between
- * zones, and how slow it has been against expectation.
+ * Selects an engine by the expected time to the first token.
  *
- * Thread safety: none; the owner serialises.
+ * The router compares a few candidates only, so the cost of a choice does not
+ * grow with the number of engines. Two candidates are the first engines at the
+ * prompt prefix on a hash ring: all daemons send a prefix there, so it is
+ * probably cached. Two more are random. The candidate with the shortest
+ * expected time to the first token is selected. The estimate consists of the
+ * queue (from the engine's report and the requests of this daemon), the prompt
+ * tokens left to prefill, the distance between zones, and the engine's observed
+ * slowness relative to earlier estimates.
+ *
+ * Thread safety: none; the owner serialises calls.
  */
 class Router
 {
@@ -80,29 +85,34 @@
   explicit Router(Random aRandom,
                   RoutingPolicy aPolicy = RoutingPolicy::eExpectedFirstToken);
 
-  /** Takes in what is known of a back end; a new incarnation replaces the old
-   * one with a clean record. */
+  /** Adds or updates a back end. A new incarnation replaces the old one and
+   * starts without its statistics. */
   void Upsert(const EngineReport& aReport);
   void Remove(const InstanceId& aId);
-  /** No new work goes there; \return whether that is news. */
-  bool MarkLeaving(const std::string& aLife);
-  /** Not chosen until then. */
-  void MarkDown(const std::string& aLife, TimePoint aUntil);
-  /** Reserved: chosen by nobody but who names it. */
-  void SetReserved(std::set<std::string> aLives)
+  /** Stops sending new requests to the incarnation. \return true if it is
+   * known and was not leaving yet. */
+  bool MarkLeaving(const std::string& aIncarnationKey);
+  /** Excludes the incarnation from selection until aUntil. */
+  void MarkDown(const std::string& aIncarnationKey, TimePoint aUntil);
+  /** Sets the reserved incarnations. Only PickIncarnation selects them; Pick
+   * does not. */
+  void SetReserved(std::set<std::string> aIncarnationKeys)
   {
-    this->reserved = std::move(aLives);
+    this->reserved = std::move(aIncarnationKeys);
   }
 
-  /** Takes a place; nothing when no back end can take the request now. */
+  /** Takes a slot; empty when no back end can accept the request now. */
   std::optional<EngineChoice> Pick(const RouteRequest& aRequest,
                                    TimePoint aNow);
-  /** Takes a place on this very life, unless it is gone. */
-  std::optional<EngineChoice> PickIncarnation(const std::string& aLife,
-                                              TimePoint aNow);
-  void Finish(const EngineChoice& aChoice, const EngineResult& aEnding);
-
-  /** What the back ends of a version that can be chosen have and report. */
+  /** Takes a slot on this incarnation; empty when it is unknown, leaving or
+   * marked down. */
+  std::optional<EngineChoice> PickIncarnation(
+    const std::string& aIncarnationKey,
+    TimePoint aNow);
+  void Finish(const EngineChoice& aChoice, const EngineResult& aResult);
+
+  /** Slots and waiting requests, summed over a version's available back ends.
+   */
   struct VersionCapacity
   {
     double slots = 0;
@@ -111,14 +121,16 @@
   [[nodiscard]] VersionCapacity CapacityOf(const ServiceId& aService,
                                            const VersionId& aVersion,
                                            TimePoint aNow) const;
-  [[nodiscard]] const Engine* FindIncarnation(const std::string& aLife) const;
-  /** Lives of a service's version that can be chosen, in id order. */
+  [[nodiscard]] const Engine* FindIncarnation(
+    const std::string& aIncarnationKey) const;
+  /** Incarnation keys of a version's back ends that are neither leaving nor
+   * marked down, in id order. */
   [[nodiscard]] std::vector<std::string> AvailableIncarnations(
     const ServiceId& aService,
     const VersionId& aVersion,
     TimePoint aNow) const;
   [[nodiscard]] std::vector<EngineReport> Reports() const;
-  /** Among how many daemons the engines are shared. */
+  /** Sets the number of daemons that share the engines. */
   void SetDaemonCount(std::size_t aCount);
 
 private:
@@ -137,7 +149,7 @@
   using GroupKey = std::pair<ServiceId, VersionId>;
 
   void RebuildGroups();
-  Engine* FindEngine(const std::string& aLife);
+  Engine* FindEngine(const std::string& aIncarnationKey);
   [[nodiscard]] bool CanAccept(const Engine& aEngine,
                                const RouteRequest& aRequest,
                                TimePoint aNow) const;
