--- a/test/MembershipSimulation.h
+++ b/test/MembershipSimulation.h
@@ -1,5 +1,6 @@
 /** \file
- * Many members as state machines over an in-memory exchange in logical time.
+ * Simulates a cluster of Membership objects in one process, with an in-memory
+ * network and simulated time.
  */
 #pragma once
 
@@ -14,8 +15,9 @@
 
 namespace toucanshed::test {
 
-/** Delivers every message a millisecond after it was sent, unless the link is
- * cut or the receiver is paused or dead. */
+/** Delivers the messages in rounds, every 10 ms of simulated time. Messages
+ * over a broken link or to a dead node are lost; a paused node receives them
+ * when it resumes. */
 class MembershipSimulation
 {
 public:
@@ -31,12 +33,13 @@
   struct Node
   {
     std::unique_ptr<Membership> membership;
-    std::vector<peer::Envelope> inbox; // waits while paused
+    std::vector<peer::Envelope> inbox; // holds messages while paused
     bool dead = false;
     bool paused = false;
   };
 
-  /** Runs for a time; one tick every kTick, offset between nodes. */
+  /** Advances the simulated time. Each node ticks once per kTick; the phase
+   * differs between nodes. */
   void Run(Millis aTime)
   {
     const TimePoint end = this->now + aTime;
@@ -54,7 +57,7 @@
     }
   }
 
-  /** Whether all that are up see exactly these alive. */
+  /** Whether each running node sees exactly aAlive nodes alive, with itself. */
   [[nodiscard]] bool AllSeeAlive(std::size_t aAlive) const
   {
     for (const Node& node : this->nodes) {
@@ -66,25 +69,25 @@
     return true;
   }
 
-  /** Nodes that are up and see a node with a status. */
+  /** Number of running nodes in whose view aNode has the status. */
   [[nodiscard]] std::size_t CountSeeing(std::size_t aNode,
                                         peer::MemberStatus aStatus) const
   {
-    std::size_t seen = 0;
+    std::size_t count = 0;
     for (const Node& node : this->nodes) {
       const auto& others = node.membership->Others();
       const auto found = others.find(NameOf(aNode));
       if (!node.dead && !node.paused && found != others.end() &&
           found->second.member.status() == aStatus) {
-        ++seen;
+        ++count;
       }
     }
-    return seen;
+    return count;
   }
 
   void Resume(std::size_t aNode) { this->nodes[aNode].paused = false; }
 
-  /** Replaces a node by a new life at the same address. */
+  /** Replaces a node by a new incarnation at the same address. */
   void Replace(std::size_t aNode)
   {
     this->nodes[aNode] = Node{};
@@ -111,18 +114,19 @@
     this->MakeMember(aNode, 1);
   }
 
-  void MakeMember(std::size_t aNode, std::uint64_t aLife)
+  void MakeMember(std::size_t aNode, std::uint64_t aIncarnation)
   {
     peer::Member self;
     self.set_id(NameOf(aNode));
-    self.set_incarnation(aLife);
-    self.set_life(aLife);
+    self.set_incarnation(aIncarnation);
+    self.set_life(aIncarnation);
     self.set_zone("zone-" + std::to_string(aNode % 8));
     self.set_address(std::to_string(aNode));
     self.set_operator_address("10.0.0.1:9100");
     this->nodes[aNode].membership = std::make_unique<Membership>(
-      self, MembershipTiming{}, Random(aNode + aLife));
-    // The platform's list names a few; the rest is heard.
+      self, MembershipTiming{}, Random(aNode + aIncarnation));
+    // The platform's list contains a few daemons; the others are found through
+    // them.
     this->nodes[aNode].membership->SetSeedAddresses(
       { "0", "1", "2", "3", "4" });
   }
--- a/test/correctness/ClaimCoordinatorTest.cpp
+++ b/test/correctness/ClaimCoordinatorTest.cpp
@@ -8,11 +8,11 @@
 constexpr Millis kWindow{ 60000 };
 const TimePoint kNow{ 1000000 };
 const IdempotencyKey kKey{ "crews/jobdesk/1000-a" };
-const Fingerprint kPrint{ 7 };
+const Fingerprint kFingerprint{ 7 };
 
-/** The next batch of a daemon, as the log would take it. */
+/** Takes the next batch of a daemon and marks it as committed. */
 records::Batch
-Sent(ClaimCoordinator& aClaims)
+TakeCommittedBatch(ClaimCoordinator& aClaims)
 {
   auto batch = aClaims.Queue().NextToSend();
   REQUIRE(batch);
@@ -26,39 +26,41 @@
 {
   ClaimCoordinator first(WriterId{ "a/1" }, kWindow);
   ClaimCoordinator second(WriterId{ "b/1" }, kWindow);
-  const AttemptId mine{ "a1" };
-  const AttemptId other{ "b1" };
-  REQUIRE(first.TryClaim(kKey, kPrint, mine, kNow) == KeyStatus::eClaiming);
-  REQUIRE(second.TryClaim(kKey, kPrint, other, kNow) == KeyStatus::eClaiming);
-  const records::Batch one = Sent(first);
-  const records::Batch two = Sent(second);
+  const AttemptId firstAttempt{ "a1" };
+  const AttemptId secondAttempt{ "b1" };
+  REQUIRE(first.TryClaim(kKey, kFingerprint, firstAttempt, kNow) ==
+          KeyStatus::eClaiming);
+  REQUIRE(second.TryClaim(kKey, kFingerprint, secondAttempt, kNow) ==
+          KeyStatus::eClaiming);
+  const records::Batch firstBatch = TakeCommittedBatch(first);
+  const records::Batch secondBatch = TakeCommittedBatch(second);
   for (ClaimCoordinator* daemon : { &first, &second }) {
-    daemon->Apply(1, one);
-    daemon->Apply(2, two);
+    daemon->Apply(1, firstBatch);
+    daemon->Apply(2, secondBatch);
   }
-  CHECK(first.Dispatch(mine, kNow));
-  CHECK_FALSE(first.Dispatch(mine, kNow));
-  CHECK_FALSE(second.Dispatch(other, kNow));
-  CHECK(second.PhaseOf(other) == ClaimPhase::eHeldByOther);
+  CHECK(first.Dispatch(firstAttempt, kNow));
+  CHECK_FALSE(first.Dispatch(firstAttempt, kNow));
+  CHECK_FALSE(second.Dispatch(secondAttempt, kNow));
+  CHECK(second.PhaseOf(secondAttempt) == ClaimPhase::eHeldByOther);
 }
 
 TEST_CASE("a delayed duplicate of an abandoned claim is ignored")
 {
-  // The append of a claim gets no answer and is sent again; the caller is told
-  // "not run" and the claim abandoned. Then the first copy lands. Were it
-  // folded, every repeat of the key would be told "may have run" for the rest
-  // of the window, though nothing ever ran.
+  // The append of a claim gets no reply and is sent again. The claim is then
+  // abandoned and the caller receives "not run". After that, the other copy of
+  // the claim appears in the log. If it were applied, every repeat of the key
+  // would get "may have run" for the rest of the window, though nothing ran.
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  daemon.TryClaim(kKey, kPrint, attempt, kNow);
+  daemon.TryClaim(kKey, kFingerprint, attempt, kNow);
   const records::Batch claim = *daemon.Queue().NextToSend();
   daemon.Queue().AllowResend();
   daemon.Apply(1, claim);
   REQUIRE(daemon.Abandon(attempt));
-  daemon.Apply(2, Sent(daemon));
+  daemon.Apply(2, TakeCommittedBatch(daemon));
   daemon.Apply(3, claim);
   CHECK(daemon.Table().Find(kKey) == nullptr);
-  CHECK(daemon.TryClaim(kKey, kPrint, AttemptId{ "a2" }, kNow) ==
+  CHECK(daemon.TryClaim(kKey, kFingerprint, AttemptId{ "a2" }, kNow) ==
         KeyStatus::eClaiming);
 }
 
@@ -66,8 +68,8 @@
 {
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  daemon.TryClaim(kKey, kPrint, attempt, kNow);
-  daemon.Apply(1, Sent(daemon));
+  daemon.TryClaim(kKey, kFingerprint, attempt, kNow);
+  daemon.Apply(1, TakeCommittedBatch(daemon));
   CHECK_FALSE(daemon.Dispatch(attempt, kNow + kWindow));
   CHECK(daemon.Abandon(attempt));
 }
@@ -75,8 +77,8 @@
 TEST_CASE("a key reused for a different request is rejected")
 {
   ClaimCoordinator daemon(WriterId{ "a/1" }, kWindow);
-  daemon.TryClaim(kKey, kPrint, AttemptId{ "a1" }, kNow);
-  daemon.Apply(1, Sent(daemon));
+  daemon.TryClaim(kKey, kFingerprint, AttemptId{ "a1" }, kNow);
+  daemon.Apply(1, TakeCommittedBatch(daemon));
   CHECK(daemon.TryClaim(kKey, Fingerprint{ 8 }, AttemptId{ "a2" }, kNow) ==
         KeyStatus::eRequestMismatch);
 }
@@ -86,19 +88,19 @@
   ClaimCoordinator first(WriterId{ "a/1" }, kWindow);
   ClaimCoordinator second(WriterId{ "b/1" }, kWindow);
   const AttemptId attempt{ "a1" };
-  first.TryClaim(kKey, kPrint, attempt, kNow);
-  const records::Batch claim = Sent(first);
+  first.TryClaim(kKey, kFingerprint, attempt, kNow);
+  const records::Batch claim = TakeCommittedBatch(first);
   first.Apply(1, claim);
   second.Apply(1, claim);
-  CHECK(second.TryClaim(kKey, kPrint, AttemptId{ "b1" }, kNow) ==
+  CHECK(second.TryClaim(kKey, kFingerprint, AttemptId{ "b1" }, kNow) ==
         KeyStatus::eInProgress);
   REQUIRE(first.Dispatch(attempt, kNow));
-  ClaimOutcome answer;
-  answer.status = 200;
-  answer.body = "booked";
-  first.Complete(attempt, answer);
-  second.Apply(2, Sent(first));
-  REQUIRE(second.TryClaim(kKey, kPrint, AttemptId{ "b2" }, kNow) ==
+  ClaimOutcome outcome;
+  outcome.status = 200;
+  outcome.body = "booked";
+  first.Complete(attempt, outcome);
+  second.Apply(2, TakeCommittedBatch(first));
+  REQUIRE(second.TryClaim(kKey, kFingerprint, AttemptId{ "b2" }, kNow) ==
           KeyStatus::eOutcomeRecorded);
   CHECK(second.Table().Find(kKey)->outcome->body == "booked");
 }
--- a/test/correctness/EventSplitterTest.cpp
+++ b/test/correctness/EventSplitterTest.cpp
@@ -26,23 +26,23 @@
 
 TEST_CASE("only whole events are returned for any chunk sizes")
 {
-  rc::prop("any cuts", [] {
-    std::string whole;
+  rc::prop("any chunk sizes", [] {
+    std::string stream;
     for (std::uint64_t id = 0; id < 6; ++id) {
-      whole += EventText(id);
+      stream += EventText(id);
     }
     EventSplitter splitter;
-    std::string seen;
-    std::string rest = whole;
+    std::string received;
+    std::string rest = stream;
     while (!rest.empty()) {
-      const auto cut = *rc::gen::inRange<std::size_t>(1, rest.size() + 1);
-      splitter.Add(rest.substr(0, cut));
-      rest.erase(0, cut);
-      const std::string given = NextEvents(splitter);
-      RC_ASSERT(given.empty() || given.ends_with("\n\n"));
-      seen += given;
+      const auto chunkSize = *rc::gen::inRange<std::size_t>(1, rest.size() + 1);
+      splitter.Add(rest.substr(0, chunkSize));
+      rest.erase(0, chunkSize);
+      const std::string events = NextEvents(splitter);
+      RC_ASSERT(events.empty() || events.ends_with("\n\n"));
+      received += events;
     }
-    RC_ASSERT(seen == whole);
+    RC_ASSERT(received == stream);
     RC_ASSERT(!splitter.HasPartialEvent());
   });
 }
--- a/test/fuzz/ClaimFuzz.cpp
+++ b/test/fuzz/ClaimFuzz.cpp
@@ -5,9 +5,9 @@
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
-// Callers see at most one execution of a key, whatever the log and the
-// daemons do: appends are lost after effect, land late, the log is away,
-// daemons are paused (no step is drawn for them) and replaced at any step.
+// Checks that a key is executed at most once under faults: replies to committed
+// appends are lost, appends are committed late, the log is unavailable, and
+// daemons are paused (no step is drawn for them) or replaced at any step.
 
 namespace rc {
 template<>
@@ -34,25 +34,26 @@
   return static_cast<std::uint8_t>(aRandom.NextBelow(aBelow));
 }
 
-/** Runs seeded histories; \return how many broke a promise. */
+/** Runs random histories with fixed seeds; \return how many violated a
+ * guarantee. */
 std::size_t
 CountViolations(ClaimMutant aMutant, std::size_t aHistories)
 {
   constexpr std::size_t kSteps = 400;
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   for (std::size_t i = 0; i < aHistories; ++i) {
     Random random(i);
-    ClaimSimulation world(aMutant);
-    for (std::size_t step = 0; step < kSteps && world.Violation().empty();
+    ClaimSimulation simulation(aMutant);
+    for (std::size_t step = 0; step < kSteps && simulation.Violation().empty();
          ++step) {
-      world.RunStep(ClaimStep{ DrawByte(random, 12),
-                               DrawByte(random, 3),
-                               DrawByte(random, 8),
-                               DrawByte(random, 8) });
+      simulation.RunStep(ClaimStep{ DrawByte(random, 12),
+                                    DrawByte(random, 3),
+                                    DrawByte(random, 8),
+                                    DrawByte(random, 8) });
     }
-    broken += world.Violation().empty() ? 0 : 1;
+    violations += simulation.Violation().empty() ? 0 : 1;
   }
-  return broken;
+  return violations;
 }
 
 } // namespace
@@ -61,12 +62,12 @@
 {
   std::uint64_t executions = 0;
   const bool holds = rc::check([&](const std::vector<ClaimStep>& aSteps) {
-    ClaimSimulation world(ClaimMutant::eNone);
+    ClaimSimulation simulation(ClaimMutant::eNone);
     for (const ClaimStep& step : aSteps) {
-      world.RunStep(step);
-      RC_ASSERT(world.Violation() == "");
+      simulation.RunStep(step);
+      RC_ASSERT(simulation.Violation() == "");
     }
-    executions += world.Executions();
+    executions += simulation.Executions();
   });
   CHECK(holds);
   CHECK(executions > 50);
--- a/test/fuzz/ClaimSimulation.cpp
+++ b/test/fuzz/ClaimSimulation.cpp
@@ -30,8 +30,8 @@
 void
 ClaimSimulation::RestartDaemon(Daemon& aDaemon)
 {
-  // A new life: nothing is left of the old one but what the log holds. Its
-  // attempts can still be counted, never acted on.
+  // A new incarnation has only what the log holds. The executions of the old
+  // one stay counted per key, but its attempts take no further step.
   const WriterId writer{ "daemon/" + std::to_string(++this->lastId) };
   aDaemon.claims = std::make_unique<ClaimCoordinator>(writer, kWindow);
   aDaemon.batchesRead = 0;
@@ -45,11 +45,11 @@
   Attempt attempt;
   attempt.id = AttemptId{ "a" + std::to_string(++this->lastId) };
   attempt.key = key;
-  const KeyStatus ask = aDaemon.claims->TryClaim(
+  const KeyStatus keyStatus = aDaemon.claims->TryClaim(
     this->keys[key].id, Fingerprint{ 7 }, attempt.id, this->now);
-  if (ask == KeyStatus::eClaiming) {
+  if (keyStatus == KeyStatus::eClaiming) {
     aDaemon.attempts.push_back(attempt);
-  } else if (ask == KeyStatus::eOutcomeRecorded) {
+  } else if (keyStatus == KeyStatus::eOutcomeRecorded) {
     this->CheckReplay(aDaemon, this->keys[key]);
   }
 }
@@ -58,9 +58,10 @@
 ClaimSimulation::CheckReplay(const Daemon& aDaemon, const Key& aKey)
 {
   const ClaimEntry* entry = aDaemon.claims->Table().Find(aKey.id);
-  const ClaimOutcome& answer = *entry->outcome;
-  if (!answer.unclear && answer.body != aKey.response) {
-    this->violation = "a repeated key got an answer that is not the back end's";
+  const ClaimOutcome& outcome = *entry->outcome;
+  if (!outcome.unclear && outcome.body != aKey.response) {
+    this->violation =
+      "a repeated key got a response that is not the back end's";
   }
 }
 
@@ -72,17 +73,17 @@
     return;
   }
   switch (aStep.variant % 4) {
-    case 0: // answered
+    case 0: // committed and confirmed
       this->log.push_back(*batch);
       aDaemon.claims->Queue().MarkCommitted(batch->sequence());
       return;
-    case 1: // took effect, answer lost
+    case 1: // committed, but the reply is lost
       this->log.push_back(*batch);
       break;
-    case 2: // takes effect later, or never
+    case 2: // committed later, or never
       this->delayedBatches.push_back(*batch);
       break;
-    default: // the log is away
+    default: // the log is unavailable
       break;
   }
   aDaemon.claims->Queue().AllowResend();
@@ -119,12 +120,12 @@
   ++aAttempt.executions;
   ++key.executions;
   ++this->executions;
-  key.response = "answer to " + aAttempt.id.value;
+  key.response = "response to " + aAttempt.id.value;
   if (key.executions > 1) {
-    this->violation = "a request that may not be repeated ran twice";
+    this->violation = "a non-repeatable request ran twice";
   }
   if (aAttempt.reportedNotRun) {
-    this->violation = "a request ran after \"not run\" was said of it";
+    this->violation = "a request ran after it was reported as \"not run\"";
   }
 }
 
@@ -150,10 +151,10 @@
     return;
   }
   if (aStep.variant % 2 == 0) {
-    ClaimOutcome answer;
-    answer.status = 200;
-    answer.body = "answer to " + aAttempt.id.value;
-    aDaemon.claims->Complete(aAttempt.id, answer);
+    ClaimOutcome outcome;
+    outcome.status = 200;
+    outcome.body = "response to " + aAttempt.id.value;
+    aDaemon.claims->Complete(aAttempt.id, outcome);
     return;
   }
   aDaemon.claims->MarkUnclear(aAttempt.id);
@@ -168,7 +169,7 @@
   if (aDaemon.claims->Abandon(aAttempt.id)) {
     aAttempt.reportedNotRun = true;
     if (aAttempt.executions > 0) {
-      this->violation = "\"not run\" was said of a request that had run";
+      this->violation = "a request that had run was reported as \"not run\"";
     }
   }
 }
@@ -213,7 +214,7 @@
       }
       break;
     default:
-      // Mostly time passes; now and then a daemon is replaced.
+      // One variant in four replaces a daemon; the others advance the time.
       if (aStep.variant % 4 == 0) {
         this->RestartDaemon(daemon);
       } else {
--- a/test/fuzz/ClaimSimulation.h
+++ b/test/fuzz/ClaimSimulation.h
@@ -1,6 +1,6 @@
 /** \file
- * Several daemons around one log that loses answers, delays appends and goes
- * away, with an oracle that only counts executions.
+ * Simulates several daemons that share one log. The log loses replies, delays
+ * appends and becomes unavailable. An oracle counts the executions per key.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace toucanshed::test {
 
-/** One step of a history; fields are taken modulo what there is. */
+/** One step of a history. Each field is taken modulo the number of choices. */
 struct ClaimStep
 {
   std::uint8_t kind = 0;
@@ -22,7 +22,8 @@
   std::uint8_t variant = 0;
 };
 
-/** A deliberate mistake, to show that the oracle sees it. */
+/** A deliberate error in the simulated daemon, to show that the oracle detects
+ * it. */
 enum class ClaimMutant
 {
   eNone,
@@ -31,16 +32,17 @@
   eResendAfterUnclear,
 };
 
+/** Daemons, log and oracle; RunStep applies one step to them. */
 class ClaimSimulation
 {
 public:
   explicit ClaimSimulation(ClaimMutant aMutant);
 
   void RunStep(const ClaimStep& aStep);
-  /** Empty while every promise holds. */
+  /** A description of the last violation; empty if there was none. */
   [[nodiscard]] const std::string& Violation() const { return this->violation; }
-  /** Executions that took place, so that a test can tell a run that did
-   * something from one that did not. */
+  /** Number of executions, so that a test can check that requests ran at all.
+   */
   [[nodiscard]] std::uint64_t Executions() const { return this->executions; }
 
 private:
--- a/test/fuzz/ControlFuzz.cpp
+++ b/test/fuzz/ControlFuzz.cpp
@@ -3,11 +3,12 @@
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
-// Operators race, appends are doubled and land late, the log drops its oldest
-// records behind a snapshot, daemons start anew from the log or from a peer's
-// old state. Every daemon that has read to the same offset has the same
-// documents, the accepted revision only grows, and the oracle, one sequential
-// list, names the same winners.
+// Checks that the configuration converges under faults: operators send
+// concurrent changes, appends are repeated and committed late, the log drops
+// its oldest records once a snapshot covers them, and daemons restart from the
+// log or from an old snapshot of a peer. Daemons that have read to the same
+// offset must have the same documents, accepted revisions must only increase,
+// and the oracle, one sequential list, must accept the same changes.
 
 namespace toucanshed::test {
 namespace {
@@ -31,30 +32,31 @@
 }
 
 config::ServiceDocument
-DocumentOf(std::size_t aService, std::uint64_t aMark, bool aMove)
+DocumentOf(std::size_t aService, std::uint64_t aChangeNumber, bool aHasRollout)
 {
   config::ServiceDocument document;
   document.set_service("s" + std::to_string(aService));
   document.set_kind(config::MODEL);
-  document.set_first_token_target_ms(static_cast<std::uint32_t>(aMark % 60000) +
-                                     1);
+  document.set_first_token_target_ms(
+    static_cast<std::uint32_t>(aChangeNumber % 60000) + 1);
   for (const char* name : { "v1", "v2" }) {
     config::Version* version = document.add_versions();
     version->set_name(name);
     version->set_share_percent(document.versions_size() == 1 ? 100 : 0);
   }
-  if (aMove) {
-    config::Move* move = document.mutable_move();
-    move->set_from("v1");
-    move->set_to("v2");
-    move->set_deadline_s(60);
-    move->set_canary_percent(5);
-    move->set_min_requests(1);
+  if (aHasRollout) {
+    config::Move* rollout = document.mutable_move();
+    rollout->set_from("v1");
+    rollout->set_to("v2");
+    rollout->set_deadline_s(60);
+    rollout->set_canary_percent(5);
+    rollout->set_min_requests(1);
   }
   return document;
 }
 
-/** The simplest thing that can be right: one list, in order. */
+/** Reference implementation: applies all batches in order, without snapshots.
+ */
 struct Oracle
 {
   std::map<std::string, std::pair<std::uint64_t, std::string>> activeDocuments;
@@ -119,7 +121,7 @@
     }
   }
 
-  /** Reads all daemons to the end and compares them. */
+  /** Lets all daemons read to the end of the log, and compares their state. */
   void CheckConverged()
   {
     for (std::size_t i = 0; i < kDaemons; ++i) {
@@ -146,17 +148,18 @@
   struct Daemon
   {
     std::unique_ptr<ControlReader> reader;
-    std::size_t batchesRead = 0; // offsets up to this one
+    std::size_t batchesRead = 0; // all offsets up to this one
     std::map<std::string, std::uint64_t> latestRevisions;
   };
 
   std::string DescribeRollouts(std::size_t aDaemon)
   {
     std::string text;
-    for (const auto& [position, move] :
+    for (const auto& [position, rollout] :
          this->daemons[aDaemon].reader->Table().RolloutsByRevision()) {
-      text += std::to_string(position.value) + ":" + std::to_string(move.step) +
-              ToText(move.status) + move.reason + " ";
+      text += std::to_string(position.value) + ":" +
+              std::to_string(rollout.step) + ToText(rollout.status) +
+              rollout.reason + " ";
     }
     return text;
   }
@@ -173,13 +176,14 @@
 
   void RestartDaemon(std::size_t aDaemon, const ControlStep& aStep)
   {
-    // The peer's state may be old; what it does not cover is then read.
+    // The peer's snapshot may be old. The daemon then reads from the log what
+    // the snapshot does not cover.
     const Daemon& peer = this->daemons[aStep.service % kDaemons];
-    const bool usable = peer.reader->IsComplete();
-    const auto old = peer.reader->Snapshot();
+    const bool peerComplete = peer.reader->IsComplete();
+    const auto peerSnapshot = peer.reader->Snapshot();
     this->ResetDaemon(aDaemon);
-    if (usable && aStep.variant % 2 == 0) {
-      this->daemons[aDaemon].reader->LoadSnapshot(old);
+    if (peerComplete && aStep.variant % 2 == 0) {
+      this->daemons[aDaemon].reader->LoadSnapshot(peerSnapshot);
       this->daemons[aDaemon].reader->SetEarliestOffset(this->earliest);
     }
     this->CheckRevisionsGrow(aDaemon);
@@ -202,18 +206,18 @@
 
   void ProposeRolloutRecord(std::size_t aDaemon, const ControlStep& aStep)
   {
-    const auto& moves =
+    const auto& rollouts =
       this->daemons[aDaemon].reader->Table().RolloutsByRevision();
-    if (moves.empty()) {
+    if (rollouts.empty()) {
       return;
     }
-    const RolloutState& move = std::prev(moves.end())->second;
+    const RolloutState& rollout = std::prev(rollouts.end())->second;
     records::Record record;
     if (aStep.variant % 3 != 0) {
-      record.mutable_move_step()->set_move(move.rollout.value);
-      record.mutable_move_step()->set_step(move.step + 1);
+      record.mutable_move_step()->set_move(rollout.rollout.value);
+      record.mutable_move_step()->set_step(rollout.step + 1);
     } else {
-      record.mutable_move_end()->set_move(move.rollout.value);
+      record.mutable_move_end()->set_move(rollout.rollout.value);
       record.mutable_move_end()->set_taken_back(aStep.service % 2 == 0);
       record.mutable_move_end()->set_reason("d" + std::to_string(aDaemon));
     }
@@ -226,14 +230,14 @@
     this->oracle.Append(this->log.size(), aBatch);
   }
 
-  void SendBatch(std::size_t aDaemon, unsigned aFate)
+  void SendBatch(std::size_t aDaemon, unsigned aOutcome)
   {
     AppendQueue& queue = this->daemons[aDaemon].reader->Queue();
     const auto batch = queue.NextToSend();
-    if (batch && aFate != 3) {
+    if (batch && aOutcome != 3) {
       this->Append(*batch);
     }
-    if (batch && aFate == 0) {
+    if (batch && aOutcome == 0) {
       queue.MarkCommitted(batch->sequence());
     }
     queue.AllowResend();
@@ -243,7 +247,8 @@
   {
     Daemon& daemon = this->daemons[aDaemon];
     if (daemon.batchesRead + 1 < this->earliest) {
-      // Too far behind: it starts anew, as a daemon does.
+      // The log has dropped the next batch: the daemon restarts, as a real one
+      // does.
       this->ResetDaemon(aDaemon);
     }
     for (std::size_t i = 0; i < aCount && daemon.batchesRead < this->log.size();
@@ -259,20 +264,20 @@
   {
     Daemon& daemon = this->daemons[aDaemon];
     for (const auto& [service, entry] : daemon.reader->Table().Services()) {
-      std::uint64_t& newest = daemon.latestRevisions[service.value];
-      RC_ASSERT(entry.revision.value >= newest);
-      newest = entry.revision.value;
+      std::uint64_t& latest = daemon.latestRevisions[service.value];
+      RC_ASSERT(entry.revision.value >= latest);
+      latest = entry.revision.value;
     }
   }
 
-  void CompactLog(std::size_t aDaemon, std::uint8_t aDetail)
+  void CompactLog(std::size_t aDaemon, std::uint8_t aVariant)
   {
     const Daemon& daemon = this->daemons[aDaemon];
     if (!daemon.reader->IsComplete() || daemon.batchesRead == 0 ||
-        aDetail > 4) {
+        aVariant > 4) {
       return;
     }
-    // What the snapshot does not cover stays in the log behind it.
+    // The batches that the snapshot does not cover stay in the log.
     records::Batch batch;
     batch.set_writer("snapshot/" + std::to_string(++this->lastIncarnation));
     batch.set_sequence(1);
@@ -314,11 +319,11 @@
 TEST_CASE("configuration converges and never reverts")
 {
   CHECK(rc::check([](const std::vector<ControlStep>& aSteps) {
-    ControlSimulation world;
+    ControlSimulation simulation;
     for (const ControlStep& step : aSteps) {
-      world.RunStep(step);
+      simulation.RunStep(step);
     }
-    world.CheckConverged();
+    simulation.CheckConverged();
   }));
 }
 
--- a/test/performance/MembershipCost.cpp
+++ b/test/performance/MembershipCost.cpp
@@ -18,30 +18,32 @@
 MembershipCost
 Measure(std::size_t aCount)
 {
-  MembershipSimulation net(aCount);
-  const TimePoint start = net.now;
-  while (!net.AllSeeAlive(aCount) && net.now - start < Millis(120000)) {
-    net.Run(Millis(1000));
+  MembershipSimulation simulation(aCount);
+  const TimePoint start = simulation.now;
+  while (!simulation.AllSeeAlive(aCount) &&
+         simulation.now - start < Millis(120000)) {
+    simulation.Run(Millis(1000));
   }
   MembershipCost cost;
   cost.convergenceSeconds =
-    static_cast<double>((net.now - start).count()) / 1000.0;
-  net.Run(Millis(180000));
-  net.bytes = 0;
-  net.messages = 0;
+    static_cast<double>((simulation.now - start).count()) / 1000.0;
+  simulation.Run(Millis(180000));
+  simulation.bytes = 0;
+  simulation.messages = 0;
   constexpr double kSeconds = 20;
-  net.Run(Millis(20000));
-  const double each = kSeconds * static_cast<double>(aCount);
-  cost.bytesPerSecond = static_cast<double>(net.bytes) / each;
-  cost.messagesPerSecond = static_cast<double>(net.messages) / each;
-  net.nodes[aCount - 1].dead = true;
-  const TimePoint killed = net.now;
-  while (net.CountSeeing(aCount - 1, peer::DEAD) < aCount - 1 &&
-         net.now - killed < Millis(60000)) {
-    net.Run(Millis(100));
+  simulation.Run(Millis(20000));
+  const double daemonSeconds = kSeconds * static_cast<double>(aCount);
+  cost.bytesPerSecond = static_cast<double>(simulation.bytes) / daemonSeconds;
+  cost.messagesPerSecond =
+    static_cast<double>(simulation.messages) / daemonSeconds;
+  simulation.nodes[aCount - 1].dead = true;
+  const TimePoint killTime = simulation.now;
+  while (simulation.CountSeeing(aCount - 1, peer::DEAD) < aCount - 1 &&
+         simulation.now - killTime < Millis(60000)) {
+    simulation.Run(Millis(100));
   }
   cost.detectionSeconds =
-    static_cast<double>((net.now - killed).count()) / 1000.0;
+    static_cast<double>((simulation.now - killTime).count()) / 1000.0;
   return cost;
 }
 
@@ -49,8 +51,8 @@
 
 TEST_CASE("membership cost per daemon is bounded at any size")
 {
-  std::cout << "members  bytes/s/daemon  messages/s/daemon  dead to all after s"
-               "  all known after s\n";
+  std::cout << "members  bytes/s/daemon  messages/s/daemon  detected by all (s)"
+               "    convergence (s)\n";
   MembershipCost largest;
   for (const std::size_t count : { 6U, 50U, 330U }) {
     largest = Measure(count);
