--- a/src/coord/ClaimCoordinator.h
+++ b/src/coord/ClaimCoordinator.h
@@ -67,8 +67,8 @@
    * the claim was read back. Once the window has passed, the claim may have
    * been dropped and another attempt may have run. */
   bool Dispatch(const AttemptId& aAttempt, TimePoint aNow);
-  /** Returns true if the attempt was not sent; it never will be from now on, so
-   * that the reply "not run" is correct. */
+  /** If it returns true, the attempt was not sent and never will be, so that
+   * the reply "not run" is correct. */
   bool Abandon(const AttemptId& aAttempt);
   /** Abandons a dispatched attempt of which no byte has left this daemon. Its
    * key becomes free again. */
--- a/src/coord/Membership.h
+++ b/src/coord/Membership.h
@@ -18,9 +18,9 @@
 /** Timeouts of failure detection. */
 struct MembershipTiming
 {
-  Millis probeTimeout{ 300 };   // then other daemons are asked to probe it
-  Millis suspectAfter{ 900 };   // after the probe; then it is suspected
-  Millis deadAfter{ 3000 };     // after the suspicion; then it is dead
+  Millis probeTimeout{ 300 }; // after the probe; then others are asked to probe
+  Millis suspectAfter{ 900 }; // after the probe; then it is suspected
+  Millis deadAfter{ 3000 };   // after the suspicion; then it is dead
   Millis forgetAfter{ 120000 }; // after its death; then it is removed
   Millis syncInterval{ 5000 };  // minimum time between full view exchanges
 };
--- a/src/coord/ResponseAssembler.h
+++ b/src/coord/ResponseAssembler.h
@@ -22,12 +22,12 @@
 };
 
 /**
- * An engine may send late events of another attempt on a reused connection, or
- * repeat tokens. The caller would then receive text of another caller's
- * response or repeated text. Every event therefore carries its attempt and its
- * offset. An event of another attempt, or with an offset already delivered, is
- * ignored. A gap ends the stream, which is then resumed on another engine after
- * the contiguous prefix.
+ * An engine may send late or misrouted events of another attempt on a reused
+ * connection, or repeat tokens. The caller would then receive text of another
+ * caller's response or repeated text. Every event therefore carries its attempt
+ * and its offset. An event of another attempt, or with an offset already
+ * delivered, is ignored. A gap ends the stream, which is then resumed on
+ * another engine after the contiguous prefix.
  *
  * Thread safety: none; each response is used by one coroutine.
  */
--- a/src/coord/Router.h
+++ b/src/coord/Router.h
@@ -49,7 +49,7 @@
   std::string address;
   VersionId version;
   double expectedFirstTokenMs = 0;
-  std::uint64_t reportNumber = 0; // reports received when it was chosen
+  std::uint64_t reportNumber = 0; // Engine::reportCount when it was chosen
 
   [[nodiscard]] std::string IncarnationKey() const
   {
