--- a/src/serve/BackendList.cpp
+++ b/src/serve/BackendList.cpp
@@ -12,7 +12,7 @@
 void
 LogBackendChange(ServingState& aState,
                  const Backend& aBackend,
-                 const char* aWhat,
+                 const char* aChange,
                  Position aPosition,
                  const BackendListRead& aRead)
 {
@@ -22,7 +22,7 @@
   aState.log.Emit(
     Event("backend.listed")
       .With("backend", entry.id)
-      .With("what", aWhat)
+      .With("what", aChange)
       .With("service", entry.service)
       .With("address", entry.address)
       .With("zone", entry.zone)
@@ -35,20 +35,22 @@
       .With("running", aBackend.localLoad.running));
 }
 
-/** Its entry has gone; tells what becomes of it. */
+/** Handles a back end whose entry has disappeared, and logs whether it is kept.
+ */
 void
 RemoveBackend(ServingState& aState,
               const InstanceId& aId,
               Position aPosition,
               const BackendListRead& aRead)
 {
-  const Backend* known = aState.backends.Find(aId);
-  if (known == nullptr || known->graceUntil) {
+  const Backend* backend = aState.backends.Find(aId);
+  if (backend == nullptr || backend->graceUntil) {
     return;
   }
-  LogBackendChange(aState, *known, "gone", aPosition, aRead);
+  LogBackendChange(aState, *backend, "gone", aPosition, aRead);
   const TimePoint now = ServingState::Now();
-  // All entries here were there when the copy was last known to be current.
+  // Every entry of this copy was listed when the copy was last confirmed
+  // current.
   const TimePoint listed = aState.listFreshness.AsOf().value_or(TimePoint{});
   aState.backends.Remove(aId, aState.storeOutage.GraceUntil(listed, now));
   const Backend* kept = aState.backends.Find(aId);
@@ -103,9 +105,9 @@
                     !known->graceUntil.has_value();
   const bool isNew = known == nullptr;
   const bool isBack = !isNew && known->graceUntil.has_value();
-  const bool otherLife =
+  const bool restarted =
     !isNew && known->entry.incarnation != entry->incarnation;
-  if (otherLife) {
+  if (restarted) {
     aState.engineLimits.Forget(id);
   }
   const bool leaves = entry->leaving && (isNew || !known->entry.leaving);
@@ -127,9 +129,9 @@
              const BackendListRead& aRead)
 {
   const Backend* known = aState.backends.Find(aId);
-  const bool news = aState.listRevisions.TryAdvance(aId.value, aPosition) &&
-                    known != nullptr && !known->entry.leaving;
-  if (news) {
+  const bool changed = aState.listRevisions.TryAdvance(aId.value, aPosition) &&
+                       known != nullptr && !known->entry.leaving;
+  if (changed) {
     LogBackendChange(aState, *known, "leaving", aPosition, aRead);
     aState.backends.MarkEntryUnusable(aId);
   }
--- a/src/serve/BackendList.h
+++ b/src/serve/BackendList.h
@@ -1,5 +1,6 @@
 /** \file
- * Takes in the back ends' entries, as the store or another daemon gives them.
+ * Applies the back ends' entries, which this daemon reads from the store or
+ * receives from another daemon.
  */
 #pragma once
 
@@ -11,36 +12,38 @@
 struct ServingState;
 struct TopicPage;
 
-/** A read of the list. */
+/** One read of the backend list. */
 struct BackendListRead
 {
-  DaemonId reader; // who made it: this daemon or one that tells of it
+  DaemonId reader; // the daemon that read: this one or a peer that reports it
   TimePoint asOf;  // when the store was asked, by this daemon's clock
 };
 
-/** One record of the list. \return whether it changed which back ends may be
- * used, and how; most records only show that an engine lives.
- * Thread safety: belongs to the worker, as do all of this file. */
+/** Applies one record of the list.
+ * \return whether it changed which back ends may be used, and how; most records
+ * only renew an engine's entry.
+ * Thread safety: belongs to the worker, as does all of this file. */
 bool
 ApplyBackendRecord(ServingState& aState,
                    const KeyedRecord& aRecord,
                    const BackendListRead& aRead);
 
-/** The record at aPosition says that a back end takes nothing more. */
+/** Applies the record at aPosition, which says that a back end is leaving and
+ * accepts no more requests. */
 void
 ApplyLeaving(ServingState& aState,
              const InstanceId& aId,
              Position aPosition,
              const BackendListRead& aRead);
 
-/** The whole list: what is not in it has gone. */
+/** Applies the whole list. Back ends that are not in it are removed. */
 void
 ReplaceBackendList(ServingState& aState,
                    const TopicPage& aPage,
                    const BackendListRead& aRead);
 
-/** Drops the back ends that were kept, though their entries had gone, and are
- * not listed again in time. */
+/** Drops the back ends that stayed in use after their entries had disappeared
+ * and that were not listed again in time. */
 void
 DropExpiredBackends(ServingState& aState, TimePoint aNow);
 
--- a/src/serve/BackendLoadGuard.h
+++ b/src/serve/BackendLoadGuard.h
@@ -1,5 +1,5 @@
 /** \file
- * Counts a request at a back end for as long as it is there.
+ * Adds a request to its back end's load while it is in flight there.
  */
 #pragma once
 
@@ -32,7 +32,8 @@
   BackendLoadGuard(const BackendLoadGuard&) = delete;
   BackendLoadGuard& operator=(const BackendLoadGuard&) = delete;
 
-  /** The prompt was read. */
+  /** Removes the prompt tokens from the load: the first token means that
+   * prefill is done. */
   void RecordFirstToken()
   {
     this->AddLoad(-1);
--- a/src/serve/CallerHandler.cpp
+++ b/src/serve/CallerHandler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Why a request is not admitted. */
+/** Why a request is not admitted, and the response it gets. */
 struct Refusal
 {
   unsigned status = 0;
@@ -26,17 +26,17 @@
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kServiceUnavailable = 503;
 
-/** The same for each try of one request by one caller. */
+/** Equal for all attempts of one request by one caller. */
 Fingerprint
 FingerprintOf(const IncomingRequest& aRequest)
 {
-  const std::uint64_t what =
+  const std::uint64_t content =
     CombineHashes(Hash64(aRequest.target), Hash64(aRequest.message->body()));
-  return Fingerprint{ CombineHashes(what, Hash64(aRequest.key)) };
+  return Fingerprint{ CombineHashes(content, Hash64(aRequest.key)) };
 }
 
-/** One of the route's services, by weight; the same for one attempt id at
- * every daemon. */
+/** Picks one of the route's services by weight. All daemons pick the same one
+ * for an attempt id. */
 ServiceId
 PickService(const Route& aRoute, const AttemptId& aAttempt)
 {
@@ -47,12 +47,12 @@
   if (sum == 0) {
     return {};
   }
-  std::uint64_t at = Hash64(aAttempt.value) % sum;
+  std::uint64_t point = Hash64(aAttempt.value) % sum;
   for (const RouteTarget& target : aRoute.targets) {
-    if (at < target.weight) {
+    if (point < target.weight) {
       return target.service;
     }
-    at -= target.weight;
+    point -= target.weight;
   }
   return {};
 }
@@ -77,11 +77,12 @@
   request.incoming = std::move(aIncoming);
   request.catalog = aState.catalog;
   request.arrived = now;
-  const Millis patience = request.incoming.callerTimeout.value_or(Millis(0));
+  const Millis callerTimeout =
+    request.incoming.callerTimeout.value_or(Millis(0));
   if (request.catalog == nullptr) {
     return tl::unexpected(Refusal{ kServiceUnavailable,
                                    "no configuration yet",
-                                   RetryDelayFor(aState, patience),
+                                   RetryDelayFor(aState, callerTimeout),
                                    {} });
   }
   request.route = request.catalog->FindRoute(request.incoming.host,
@@ -97,7 +98,7 @@
     }
   }
   const Millis allowed = request.incoming.callerTimeout
-                           ? std::min(patience, request.route->timeout)
+                           ? std::min(callerTimeout, request.route->timeout)
                            : request.route->timeout;
   request.deadline = now + allowed;
   request.service = PickService(*request.route, request.incoming.attempt);
@@ -141,12 +142,12 @@
       .With("team", aRefusal.team)
       .With("come_back_ms", aRefusal.retryDelay.value_or(Millis(0)).count())
       .With("catalog", aState.catalog ? aState.catalog->version : 0));
-  HttpResponse reply = MakeLocalResponse(
+  HttpResponse response = MakeLocalResponse(
     aState, aAttempt, aRefusal.status, aRefusal.reason, aRefusal.retryDelay);
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
-/** Counts the requests in progress. */
+/** Counts a request as in progress during the guard's lifetime. */
 struct InProgressGuard
 {
   std::size_t& count;
@@ -168,7 +169,7 @@
                     const HttpRequest& aMessage,
                     HttpResponder& aResponder)
 {
-  const InProgressGuard counted(aState.inProgress);
+  const InProgressGuard inProgress(aState.inProgress);
   auto incoming = aState.wire.callers.read(aMessage);
   if (!incoming) {
     Refusal refusal{ kBadRequest, incoming.error().message, std::nullopt, {} };
@@ -185,8 +186,8 @@
       aState, aResponder, std::move(attempt), std::move(refusal));
     co_return;
   }
-  RequestForwarder run(aState, std::move(*admitted), aResponder);
-  co_await run.Run();
+  RequestForwarder forwarder(aState, std::move(*admitted), aResponder);
+  co_await forwarder.Run();
 }
 
 } // namespace toucanshed
--- a/src/serve/CallerHandler.h
+++ b/src/serve/CallerHandler.h
@@ -1,6 +1,6 @@
 /** \file
- * Admits callers' requests: finds their route and team, holds them to the
- * team's limit, and refuses at once what cannot be served.
+ * Admits callers' requests: finds their route and team, applies the team's
+ * limit, and rejects at once what cannot be served.
  */
 #pragma once
 
@@ -12,7 +12,8 @@
 
 struct ServingState;
 
-/** Answers one request. Both references must outlive the task. */
+/** Handles one request up to the end of its response. Both references must
+ * outlive the task. */
 Task<void>
 HandleCallerRequest(ServingState& aState,
                     const HttpRequest& aMessage,
--- a/src/serve/CrashProbe.cpp
+++ b/src/serve/CrashProbe.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/** After the cut, so that a process that is dying has let go of its port. */
+/** Delay after the response broke off, so that a dying process has released its
+ * port. */
 constexpr Millis kProbeDelay{ 30 };
 constexpr Millis kConnectTimeout{ 300 };
 
@@ -27,10 +28,10 @@
 {
   const Backend* backend = aState.backends.Find(aBackend);
   if (backend == nullptr || backend->leaving) {
-    co_return; // it was expected to go
+    co_return; // its end was expected
   }
   const auto endpoint = ParseEndpoint(backend->entry.address);
-  const std::string engineLife =
+  const std::string incarnationKey =
     aBackend.value + "/" + std::to_string(backend->entry.incarnation);
   if (!endpoint) {
     co_return;
@@ -45,7 +46,8 @@
     co_return;
   }
   const TimePoint now = ServingState::Now();
-  aState.facts.Add(SuspectTable::CrashFact(aFingerprint, engineLife, now), now);
+  aState.facts.Add(SuspectTable::CrashFact(aFingerprint, incarnationKey, now),
+                   now);
   aState.log.Emit(Event("backend.crashed")
                     .With("backend", aBackend)
                     .With("request_fingerprint", aFingerprint.value)
--- a/src/serve/CrashProbe.h
+++ b/src/serve/CrashProbe.h
@@ -1,6 +1,6 @@
 /** \file
- * Finds out whether a back end whose answer broke off has crashed, and
- * remembers which request it was running.
+ * Determines whether a back end whose response broke off has crashed, and
+ * records which request it was running.
  */
 #pragma once
 
@@ -11,10 +11,10 @@
 
 struct ServingState;
 
-/** Looks whether a back end still accepts connections; if not, states the fact
- * that aFingerprint was running there when it crashed. An answer that was lost
- * on the way says nothing against its request, so a cut alone does not count.
- * A request that three engines crashed with is not sent any more, by any
+/** Checks whether a back end still accepts connections. If it does not, adds
+ * the fact that aFingerprint was running there when it crashed. A broken
+ * response alone does not count, since it may have been lost on the network. A
+ * request that was running in three engine crashes is sent no more, by any
  * daemon. */
 Task<void>
 RecordIfCrashed(ServingState& aState,
--- a/src/serve/DutyRollouts.cpp
+++ b/src/serve/DutyRollouts.cpp
@@ -1,4 +1,4 @@
-// What DutyKeeper does for moves to other versions while it holds the duties.
+// Rollout decisions of DutyRunner, made while it holds the duties.
 #include "DutyRunner.h"
 
 #include "RolloutMonitor.h"
@@ -10,105 +10,106 @@
 Task<void>
 DutyRunner::DecideRollouts()
 {
-  for (const Rollout& move : this->state.rollouts.All()) {
-    const Position order = move.order.position;
+  for (const Rollout& rollout : this->state.rollouts.All()) {
+    const Position order = rollout.order.position;
     if (this->writtenStatuses.contains(order)) {
       continue;
     }
-    const auto known =
-      this->dutyLog.RolloutDecisions().find(move.order.service.value);
-    const bool recorded = known != this->dutyLog.RolloutDecisions().end() &&
-                          known->second.order() == order.value;
+    const auto decision =
+      this->dutyLog.RolloutDecisions().find(rollout.order.service.value);
+    const bool recorded = decision != this->dutyLog.RolloutDecisions().end() &&
+                          decision->second.order() == order.value;
     if (!recorded) {
-      const auto stage = this->DecideRollout(move);
-      if (!stage) {
-        co_await this->ReportDelayedRollout(move);
+      const auto phase = this->DecideRollout(rollout);
+      if (!phase) {
+        co_await this->ReportDelayedRollout(rollout);
         continue;
       }
       serving::DutyRecord record;
-      record.mutable_move()->set_service(move.order.service.value);
+      record.mutable_move()->set_service(rollout.order.service.value);
       record.mutable_move()->set_order(order.value);
-      record.mutable_move()->set_target(move.order.target.value);
-      record.mutable_move()->set_completed(*stage == RolloutPhase::eCompleted);
-      const bool stands = co_await this->AppendRecord(std::move(record));
-      if (!stands) {
+      record.mutable_move()->set_target(rollout.order.target.value);
+      record.mutable_move()->set_completed(*phase == RolloutPhase::eCompleted);
+      const bool appended = co_await this->AppendRecord(std::move(record));
+      if (!appended) {
         co_return;
       }
     }
-    co_await this->WriteRolloutStatus(move);
+    co_await this->WriteRolloutStatus(rollout);
   }
 }
 
 std::optional<RolloutPhase>
-DutyRunner::DecideRollout(const Rollout& aMove)
+DutyRunner::DecideRollout(const Rollout& aRollout)
 {
-  if (aMove.phase != RolloutPhase::eActive) {
-    return aMove.phase; // some daemon has taken it back already
+  if (aRollout.phase != RolloutPhase::eActive) {
+    return aRollout.phase; // some daemon has rolled it back already
   }
-  const VersionVerdict finding = EvaluateRollout(this->state, aMove);
-  const auto stage =
-    this->state.rollouts.Decide(aMove, finding, ServingState::Now());
-  if (stage) {
+  const VersionVerdict verdict = EvaluateRollout(this->state, aRollout);
+  const auto phase =
+    this->state.rollouts.Decide(aRollout, verdict, ServingState::Now());
+  if (phase) {
     this->state.log.Emit(
       Event("move.decided")
-        .With("service", aMove.order.service)
-        .With("target", aMove.order.target)
-        .With("completed", *stage == RolloutPhase::eCompleted ? 1 : 0)
-        .With("seen", finding.requests)
-        .With("why", finding.reason));
+        .With("service", aRollout.order.service)
+        .With("target", aRollout.order.target)
+        .With("completed", *phase == RolloutPhase::eCompleted ? 1 : 0)
+        .With("seen", verdict.requests)
+        .With("why", verdict.reason));
   }
-  return stage;
+  return phase;
 }
 
 Task<void>
-DutyRunner::ReportDelayedRollout(Rollout aMove)
+DutyRunner::ReportDelayedRollout(Rollout aRollout)
 {
-  const VersionVerdict finding = EvaluateRollout(this->state, aMove);
-  const bool waits = this->state.rollouts.IsWaitingForEngines(
-    aMove, finding, ServingState::Now());
-  if (!waits || this->reportedDelays.contains(aMove.order.position)) {
+  const VersionVerdict verdict = EvaluateRollout(this->state, aRollout);
+  const bool delayed = this->state.rollouts.IsWaitingForEngines(
+    aRollout, verdict, ServingState::Now());
+  if (!delayed || this->reportedDelays.contains(aRollout.order.position)) {
     co_return;
   }
-  const RolloutReadiness outlook = aMove.readiness.value_or(RolloutReadiness{});
+  const RolloutReadiness readiness =
+    aRollout.readiness.value_or(RolloutReadiness{});
   this->state.log.Emit(
     Event("move.waits")
-      .With("service", aMove.order.service)
-      .With("target", aMove.order.target)
-      .With("target_engines", static_cast<std::int64_t>(outlook.newEngines))
-      .With("old_engines", static_cast<std::int64_t>(outlook.oldEngines))
+      .With("service", aRollout.order.service)
+      .With("target", aRollout.order.target)
+      .With("target_engines", static_cast<std::int64_t>(readiness.newEngines))
+      .With("old_engines", static_cast<std::int64_t>(readiness.oldEngines))
       .With("needed_engines",
-            static_cast<std::int64_t>(outlook.requiredEngines))
-      .With("seen", finding.requests));
-  const bool told =
-    co_await this->AppendRolloutStatus(aMove.order, RolloutPhase::eActive);
-  if (told) {
-    this->reportedDelays.insert(aMove.order.position);
+            static_cast<std::int64_t>(readiness.requiredEngines))
+      .With("seen", verdict.requests));
+  const bool written =
+    co_await this->AppendRolloutStatus(aRollout.order, RolloutPhase::eActive);
+  if (written) {
+    this->reportedDelays.insert(aRollout.order.position);
   }
 }
 
 Task<bool>
-DutyRunner::AppendRolloutStatus(RolloutOrder aOrder, RolloutPhase aStage)
+DutyRunner::AppendRolloutStatus(RolloutOrder aOrder, RolloutPhase aPhase)
 {
   std::string record = this->state.wire.store.keyedRecord(
     this->state.wire.records.rolloutStatusKey(aOrder),
-    this->state.wire.records.rolloutStatus(aOrder, aStage));
+    this->state.wire.records.rolloutStatus(aOrder, aPhase));
   const auto written =
     co_await AppendToStore(this->state, StoreTopic::eStatus, std::move(record));
   co_return written.has_value();
 }
 
 Task<void>
-DutyRunner::WriteRolloutStatus(Rollout aMove)
+DutyRunner::WriteRolloutStatus(Rollout aRollout)
 {
-  const RolloutOrder& order = aMove.order;
+  const RolloutOrder& order = aRollout.order;
   const bool completed =
     this->dutyLog.RolloutDecisions().at(order.service.value).completed();
-  const RolloutPhase stage =
+  const RolloutPhase phase =
     completed ? RolloutPhase::eCompleted : RolloutPhase::eRolledBack;
-  const bool written = co_await this->AppendRolloutStatus(order, stage);
+  const bool written = co_await this->AppendRolloutStatus(order, phase);
   if (written) {
     this->writtenStatuses.insert(order.position);
-    EndRollout(this->state, order, stage);
+    EndRollout(this->state, order, phase);
   }
 }
 
--- a/src/serve/DutyRunner.cpp
+++ b/src/serve/DutyRunner.cpp
@@ -11,24 +11,27 @@
 namespace {
 
 constexpr Millis kPollInterval{ 250 };
-/** At its start a daemon waits this often, so long each, until it knows who the
- * others are. */
+/** At start-up a daemon polls for the member list at most so many times, at
+ * this interval. */
 constexpr int kMembersMaxPolls = 8;
 constexpr Millis kMembersPollInterval{ 25 };
-/** Beyond the lease, before a daemon that was overtaken claims again: two
- * daemons that take the duties from each other must not act in turns within one
- * lease. Others claim as soon as the holder seems gone; the records fence off
- * one that lives after all. */
+/** Wait beyond the lease before a superseded daemon claims again: two daemons
+ * that take the duties from each other must not act in turns within one lease.
+ * Other daemons claim as soon as the holder seems unreachable; if it still
+ * runs, the records fence it off. */
 constexpr Millis kLeaseMargin{ 300 };
-/** A holder that does not reach the store for this long gives the duties up: it
- * can record nothing and so may do nothing, and others may reach the store.
- * Holding on, it would leave a reclaim without an order for engines. */
+/** A holder that does not reach the store for this long steps down: it can
+ * record nothing and so may do nothing, and others may reach the store. If it
+ * kept the duties, engines that are reclaimed meanwhile would not be reordered.
+ */
 constexpr Millis kMaxStoreOutage{ 1000 };
-/** The second daemon in the order waits this much longer, and so on, so that
- * one alone claims; the store would refuse the others, but at a price. */
+/** Each candidate waits this much longer than the one before it in the order of
+ * ids, so that only one claims. The store would refuse the others, but each
+ * refused claim costs a call. */
 constexpr Millis kClaimStagger{ 600 };
-/** Time from a look at the records to a call that rests on it. A holder that
- * was paused for longer looks again whether it still holds the duty. */
+/** Longest time from a read of the records to a call that relies on it. A
+ * holder that was paused for longer checks again whether it still holds the
+ * duties. */
 constexpr Millis kMaxClaimCheckAge{ 800 };
 
 } // namespace
@@ -70,9 +73,9 @@
 Task<void>
 DutyRunner::ReclaimAfterRestart()
 {
-  // The first ones in the order of ids claim before the others, so a holder is
-  // nearly always one of them. Hundreds that start together would read the same
-  // records for nothing.
+  // The first daemons in the order of ids claim before the others, so the
+  // holder is nearly always one of them. If hundreds start together, reading
+  // the same records is useless for all the others.
   for (int i = 0; i < kMembersMaxPolls && !this->state.peers.HasReadList();
        ++i) {
     co_await Sleep(kMembersPollInterval);
@@ -103,45 +106,45 @@
 bool
 DutyRunner::IsStoreUnreachable() const
 {
-  const auto& lost = this->state.storeLostSince;
-  return lost && ServingState::Now() - *lost > kMaxStoreOutage;
+  const auto& lostSince = this->state.storeLostSince;
+  return lostSince && ServingState::Now() - *lostSince > kMaxStoreOutage;
 }
 
 std::int64_t
 DutyRunner::CandidatesAhead() const
 {
-  std::int64_t before = 0;
-  for (const serving::DaemonHeartbeat* word :
+  std::int64_t ahead = 0;
+  for (const serving::DaemonHeartbeat* heartbeat :
        this->state.peers.LiveHeartbeats(ServingState::Now())) {
-    const bool claims = !word->store_lost() && !word->stopping() &&
-                        word->id() < this->state.settings.id.value;
-    before += claims ? 1 : 0;
+    const bool precedes = !heartbeat->store_lost() && !heartbeat->stopping() &&
+                          heartbeat->id() < this->state.settings.id.value;
+    ahead += precedes ? 1 : 0;
   }
-  return before;
+  return ahead;
 }
 
 bool
 DutyRunner::ShouldClaim() const
 {
   const TimePoint now = ServingState::Now();
-  const bool pauses =
+  const bool backsOff =
     this->state.storeLostSince && now - this->claimTriedAt < kMaxStoreOutage;
-  if (pauses) {
+  if (backsOff) {
     return false;
   }
-  const Millis turn = kClaimStagger * this->CandidatesAhead();
+  const Millis stagger = kClaimStagger * this->CandidatesAhead();
   if (this->dutyLog.WasSuperseded(this->state.settings.id)) {
     const Millis lease = this->state.settings.bounds.lease + kLeaseMargin;
-    return now - this->holderReportedAt > lease + turn &&
-           now - this->dutyLog.LatestAt() > lease + turn;
+    return now - this->holderReportedAt > lease + stagger &&
+           now - this->dutyLog.LatestAt() > lease + stagger;
   }
-  // All daemons' words say that nobody holds the duties any more, so the holder
-  // has given them up and need not be waited for.
-  const bool givenUp = this->holderSeen && !this->state.peers.DutyHolder();
-  if (givenUp) {
-    return now - this->holderReportedAt > turn;
+  // No heartbeat names a holder any more, so the holder has stepped down and
+  // its claim need not time out.
+  const bool steppedDown = this->holderSeen && !this->state.peers.DutyHolder();
+  if (steppedDown) {
+    return now - this->holderReportedAt > stagger;
   }
-  const Millis wait = this->state.peers.PeerTimeout() + turn;
+  const Millis wait = this->state.peers.PeerTimeout() + stagger;
   return now - this->holderReportedAt > wait &&
          now - this->dutyLog.LatestAt() > wait;
 }
@@ -159,16 +162,16 @@
   while (true) {
     const Position from = this->dutyLog.NextPosition();
     const StoreCallLabels purpose{ "read", StoreTopic::eDuties };
-    auto reply = co_await CallStore(
+    auto response = co_await CallStore(
       this->state,
       purpose,
       this->state.wire.store.read(StoreTopic::eDuties, from, Millis(0)));
-    if (!reply) {
+    if (!response) {
       co_return false;
     }
-    auto page = this->state.wire.store.logPage(*reply, from);
+    auto page = this->state.wire.store.logPage(*response, from);
     if (!page) {
-      const auto first = this->state.wire.store.firstRetained(*reply);
+      const auto first = this->state.wire.store.firstRetained(*response);
       if (!first || *first <= from) {
         co_return false;
       }
@@ -194,23 +197,25 @@
 DutyRunner::TryClaim()
 {
   this->claimTriedAt = ServingState::Now();
-  const Position known = this->dutyLog.NextPosition();
+  const Position lastKnownEnd = this->dutyLog.NextPosition();
   const bool caughtUp = co_await this->CatchUp();
   if (!caughtUp) {
     co_return;
   }
-  // Who reads the records for the first time does not know whether the newest
-  // were added just now; the next try does.
+  // A daemon that reads the records for the first time cannot tell whether the
+  // latest ones were added just now; its next attempt can.
   if (std::exchange(this->initialReadSkipped, false) &&
       !this->IsLatestClaimant()) {
     co_return;
   }
-  // What the holder had told before it fell silent is not news.
-  const bool news = this->logRead && this->dutyLog.NextPosition() >
-                                       std::max(known, this->holderLogEnd);
+  // Records that the holder had reported before it became unreachable are no
+  // sign that some daemon is active.
+  const bool hasNewRecords =
+    this->logRead &&
+    this->dutyLog.NextPosition() > std::max(lastKnownEnd, this->holderLogEnd);
   this->logRead = true;
-  if (news && !this->IsLatestClaimant()) {
-    co_return; // somebody acted lately
+  if (hasNewRecords && !this->IsLatestClaimant()) {
+    co_return; // another daemon has acted recently
   }
   serving::DutyRecord claim;
   claim.set_holder(this->state.settings.id.value);
@@ -219,7 +224,7 @@
   const auto appended = co_await AppendToStore(
     this->state, StoreTopic::eDuties, claim.SerializeAsString(), at);
   if (!appended) {
-    // Lost or refused: what is in the records by the next look decides.
+    // Lost or refused: the next read of the records decides.
     co_return;
   }
   this->dutyLog.Apply(claim, ServingState::Now());
@@ -231,11 +236,11 @@
 }
 
 void
-DutyRunner::StepDown(const std::string& aWhy)
+DutyRunner::StepDown(const std::string& aReason)
 {
   this->state.log.Emit(Event("duty.given_up")
                          .With("fence", this->state.dutyFence.value)
-                         .With("why", aWhy));
+                         .With("why", aReason));
   this->state.dutyFence = Position{};
   this->holderSeen = true;
   this->holderReportedAt = ServingState::Now();
@@ -247,19 +252,19 @@
   aRecord.set_holder(this->state.settings.id.value);
   aRecord.set_life(this->state.incarnation);
   aRecord.set_fence(this->state.dutyFence.value);
-  const TimePoint began = this->bootTime();
+  const TimePoint startedAt = this->bootTime();
   const auto appended = co_await AppendToStore(this->state,
                                                StoreTopic::eDuties,
                                                aRecord.SerializeAsString(),
                                                this->dutyLog.NextPosition());
-  if (appended && this->bootTime() - began < kMaxClaimCheckAge) {
-    this->confirmedAt = began;
+  if (appended && this->bootTime() - startedAt < kMaxClaimCheckAge) {
+    this->confirmedAt = startedAt;
     this->dutyLog.Apply(aRecord, ServingState::Now());
     this->state.dutyLogEnd = this->dutyLog.NextPosition();
     co_return true;
   }
   co_await this->RecheckClaim();
-  co_return false; // the next look finds what stands in the records
+  co_return false; // the next read finds whether the record was appended
 }
 
 bool
@@ -280,17 +285,17 @@
 Task<bool>
 DutyRunner::RecheckClaim()
 {
-  const TimePoint began = this->bootTime();
+  const TimePoint startedAt = this->bootTime();
   const bool caughtUp = co_await this->CatchUp();
   if (!caughtUp || !this->HoldsDuties()) {
     co_return false;
   }
-  const bool overtaken = this->dutyLog.Claim()->fence != this->state.dutyFence;
-  if (overtaken) {
+  const bool superseded = this->dutyLog.Claim()->fence != this->state.dutyFence;
+  if (superseded) {
     this->StepDown("another daemon has claimed it");
     co_return false;
   }
-  this->confirmedAt = began;
+  this->confirmedAt = startedAt;
   co_return true;
 }
 
--- a/src/serve/DutyRunner.h
+++ b/src/serve/DutyRunner.h
@@ -1,6 +1,6 @@
 /** \file
- * Holds the duties of one daemon at a time: reporting usage and ordering
- * engines.
+ * Performs the duties that one daemon at a time does for all: reporting usage,
+ * ordering engines and deciding rollouts.
  */
 #pragma once
 
@@ -17,78 +17,85 @@
 namespace toucanshed {
 
 /**
- * A claim is a record appended on the condition that nothing came in between.
- * Before each act its holder appends what it will do on the same condition, so
- * a holder that was overtaken while it was paused finds out before it acts; the
- * fence in the call covers the moment between the two.
+ * A daemon claims the duties by appending a record on the condition that no
+ * other record was appended since it last read. Before each action the holder
+ * appends what it will do, on the same condition. A holder that was superseded
+ * while it was paused therefore finds out before it acts. The fence in the call
+ * covers the moment between the record and the call.
  *
  * Thread safety: belongs to the worker.
  */
 class DutyRunner
 {
 public:
-  /** \param aBootTime a clock that goes on while the machine is suspended, as
-   * the steady clock does not */
+  /** \param aBootTime a clock that keeps running while the machine is
+   * suspended, unlike the steady clock */
   explicit DutyRunner(
     ServingState& aState,
     std::function<TimePoint()> aBootTime = ServingState::BootTime);
 
-  /** Claims and acts for as long as the daemon runs. Precondition: the
-   * settings name a store and a cloud. */
+  /** Claims the duties and performs them for as long as the daemon runs.
+   * Precondition: the settings name a store and a cloud. */
   Task<void> Run();
 
 private:
-  /** A holder that was restarted goes on at once: no other daemon acts between.
-   */
+  /** Lets a restarted holder resume at once: its own claim is still the latest,
+   * so no other daemon has acted in between. */
   Task<void> ReclaimAfterRestart();
   Task<void> TryClaim();
   Task<void> PerformDuties();
   Task<void> ReportUsage();
-  /** Whether a window's counts are known of all daemons that live, or have been
-   * waited for long enough. */
+  /** Whether the counts of a window have arrived from all live daemons, or have
+   * been waited for long enough. */
   bool IsReportComplete(std::uint64_t aWindow, Millis aAge);
   Task<void> SendReport(std::uint64_t aWindow);
-  /** Keeps the planner's view of the engines, whoever holds the duties. */
+  /** Updates the planner's view of the engines, whether or not this daemon
+   * holds the duties. */
   void UpdatePlanner();
   Task<void> ScaleEngines();
   Task<void> DecideRollouts();
-  /** How a move ends, if it ends now. */
-  std::optional<RolloutPhase> DecideRollout(const Rollout& aMove);
-  /** Tells operators, once, that a move is late for want of engines. */
-  Task<void> ReportDelayedRollout(Rollout aMove);
-  /** \return whether the store took it. */
-  Task<bool> AppendRolloutStatus(RolloutOrder aOrder, RolloutPhase aStage);
-  Task<void> WriteRolloutStatus(Rollout aMove);
-  /** Records the orders of one review and sends them; AwaitOrder takes each
-   * one's answer. */
+  /** How a rollout ends, if it ends now. */
+  std::optional<RolloutPhase> DecideRollout(const Rollout& aRollout);
+  /** Reports to operators, once per rollout, that it is late because engines
+   * are missing. */
+  Task<void> ReportDelayedRollout(Rollout aRollout);
+  /** \return whether the store accepted it. */
+  Task<bool> AppendRolloutStatus(RolloutOrder aOrder, RolloutPhase aPhase);
+  Task<void> WriteRolloutStatus(Rollout aRollout);
+  /** Records the orders of one plan, then sends them; SendOrder handles each
+   * response. */
   Task<void> RecordAndSendOrders(std::vector<GroupTarget> aOrders,
-                                 double aNeeded);
-  Task<void> SendOrder(GroupTarget aOrder, Position aFence, double aNeeded);
-  /** Engines that the demand of the last while needs. */
+                                 double aRequired);
+  Task<void> SendOrder(GroupTarget aOrder, Position aFence, double aRequired);
+  /** Engines that the peak demand of the recent window requires. */
   double RecentPeakDemand(const ServiceSpec& aService, TimePoint aNow);
-  /** Reads the records that are new. \return whether the store answered. */
+  /** Reads the records added since the last read. \return whether the store
+   * responded. */
   Task<bool> CatchUp();
-  /** Appends a record of this holder. \return whether it stands and the claim
-   * still holds. */
+  /** Appends a record of this holder. \return whether it was appended and the
+   * claim still holds. */
   Task<bool> AppendRecord(serving::DutyRecord aRecord);
-  /** Whether the records were seen to name this holder just now. */
+  /** Whether a recent read of the records has named this daemon as the holder.
+   */
   [[nodiscard]] bool IsClaimConfirmed() const;
-  /** Looks at the records again unless that was just done. \return whether this
-   * daemon holds the duties. */
+  /** Reads the records again unless the claim was just confirmed. \return
+   * whether this daemon holds the duties. */
   Task<bool> ConfirmClaim();
   Task<bool> RecheckClaim();
-  /** One call to the cloud, which is sent only while Confirmed. \return its
-   * status, 0 without an answer. */
+  /** Makes one call to the cloud, which is sent only while IsClaimConfirmed.
+   * \return its status, 0 without a response. */
   Task<unsigned> CallCloud(HttpRequest aRequest);
-  void StepDown(const std::string& aWhy);
+  void StepDown(const std::string& aReason);
   [[nodiscard]] bool HoldsDuties() const;
-  /** The newest claim is an earlier life's of this daemon. */
+  /** Whether the latest claim is this daemon's own, such as one of an earlier
+   * incarnation. */
   [[nodiscard]] bool IsLatestClaimant() const;
   [[nodiscard]] bool ShouldClaim() const;
-  /** Takes in what the holder's words say. */
+  /** Updates what this daemon knows of the holder from the peers' heartbeats.
+   */
   void UpdateHolder();
   [[nodiscard]] bool IsStoreUnreachable() const;
-  /** Live daemons that would claim before this one. */
+  /** Number of live daemons that would claim before this one. */
   [[nodiscard]] std::int64_t CandidatesAhead() const;
 
   ServingState& state;
@@ -96,19 +103,21 @@
   TimePoint confirmedAt; // by bootTime
   DutyLog dutyLog;
   ScalePlanner planner;
-  bool logRead = false;            // the records were read from their start
-  bool initialReadSkipped = false; // left unread at the start
-  bool holderSeen = false;         // some daemon held the duties
-  TimePoint holderReportedAt;    // another daemon's word said that it holds it
-  std::size_t pendingOrders = 0; // and not answered yet
-  Position holderLogEnd;         // where its records ended, by its words
-  TimePoint claimTriedAt;        // the last claim
-  TimePoint nextPlanAt;          // orders are reviewed next
-  std::map<ServiceId, RecentMax> peakDemand; // engines needed
-  std::set<Position> writtenStatuses;        // of orders, by their positions
-  std::set<Position> reportedDelays;         // the same, that they are late
+  bool logRead = false;            // the records were read up to their end
+  bool initialReadSkipped = false; // the read at start-up was left out
+  bool holderSeen = false;         // some daemon has held the duties
+  TimePoint holderReportedAt; // when another daemon was last reported as holder
+  std::size_t pendingOrders = 0; // orders without a response yet
+  Position holderLogEnd;         // end of the records as the holder reported it
+  TimePoint claimTriedAt;        // the last claim attempt
+  TimePoint nextPlanAt;          // when orders are planned next
+  std::map<ServiceId, RecentMax> peakDemand; // engines required
+  std::set<Position>
+    writtenStatuses; // positions of rollout orders with a written status
+  std::set<Position>
+    reportedDelays; // positions of rollout orders reported as delayed
   std::set<std::uint64_t>
-    acceptedReports; // windows whose reports were accepted
+    acceptedReports; // windows whose reports the cloud accepted
 };
 
 } // namespace toucanshed
--- a/src/serve/DutyTasks.cpp
+++ b/src/serve/DutyTasks.cpp
@@ -1,6 +1,6 @@
-// What DutyKeeper does for usage and engines while it holds the duties. How
-// they are claimed and given up stands in DutyKeeper.cpp, moves in
-// DutyMoves.cpp.
+// Usage reports and engine orders of DutyRunner, made while it holds the
+// duties. DutyRunner.cpp has how the duties are claimed and released,
+// DutyRollouts.cpp the rollouts.
 #include "DutyRunner.h"
 
 #include "EngineDemand.h"
@@ -13,16 +13,17 @@
 
 namespace {
 
-/** After a window's end, for the others' last words about it. */
+/** Delay after a window's end, in which the other daemons' last counts of it
+ * arrive. */
 constexpr Millis kReportDelay{ 1500 };
-/** A report waits for the counts of each daemon that lives, for this part of
- * the time that it may take; the rest is for a slow cloud. */
+/** A report waits for the counts of every live daemon for at most this fraction
+ * of its deadline; the rest is left for a slow cloud. */
 constexpr double kCountsWaitFraction = 0.5;
-/** The cloud answers in milliseconds, or when it is slow in some hundred. */
+/** The cloud responds in milliseconds, or in some hundred when it is slow. */
 constexpr Millis kCloudCallTimeout{ 2500 };
-/** Orders are reviewed this often; engines take seconds to start. */
+/** How often orders are planned; engines take seconds to start. */
 constexpr Millis kPlanInterval{ 500 };
-/** How often it is seen whether all orders of a plan are answered. */
+/** How often to check whether all orders of a plan have a response. */
 constexpr Millis kOrdersPollInterval{ 25 };
 constexpr Millis kCloudConnectTimeout{ 800 };
 constexpr unsigned kOk = 200;
@@ -37,28 +38,28 @@
                                kCloudCallTimeout,
                                kCloudCallTimeout };
   this->state.metrics.Count("toucanshed_cloud_calls_total");
-  // A holder that is suspended between its record and its call wakes with a
-  // call at hand that another holder has overtaken. Sent all the same, it would
-  // undo that one's order.
+  // A holder that is suspended between its record and its call wakes up with a
+  // call that another holder has superseded. Sending it would undo that
+  // holder's order, so the claim is checked again just before the send.
   PreSendCheck maySend = [this] {
     return this->HoldsDuties() && this->IsClaimConfirmed();
   };
-  auto reply = co_await Fetch(this->state.pool.First(),
-                              *this->state.settings.cloud,
-                              std::move(aRequest),
-                              timeouts,
-                              true,
-                              maySend);
-  if (!reply) {
+  auto response = co_await Fetch(this->state.pool.First(),
+                                 *this->state.settings.cloud,
+                                 std::move(aRequest),
+                                 timeouts,
+                                 true,
+                                 maySend);
+  if (!response) {
     this->state.log.Emit(
-      Event("cloud.unanswered").With("why", reply.error().message));
+      Event("cloud.unanswered").With("why", response.error().message));
     co_return 0;
   }
-  const unsigned status = reply->result_int();
+  const unsigned status = response->result_int();
   if (status != kOk) {
     this->state.log.Emit(Event("cloud.refused")
                            .With("status", status)
-                           .With("body", reply->body()));
+                           .With("body", response->body()));
   }
   co_return status;
 }
@@ -66,8 +67,8 @@
 Task<void>
 DutyRunner::PerformDuties()
 {
-  // Calls to a slow cloud take seconds each. They are sent side by side, orders
-  // first: engines take seconds more to start, a report has ten.
+  // Calls to a slow cloud take seconds each. Orders are sent concurrently and
+  // before reports: engines need seconds more to start, while a report has ten.
   if (this->state.settings.scalesEngines) {
     co_await this->ScaleEngines();
   }
@@ -85,10 +86,11 @@
   const ServingBounds& bounds = this->state.settings.bounds;
   const std::int64_t now = this->state.ClusterTimeMs();
   const std::uint64_t current = this->state.usage.WindowAt(now);
-  // A report counts until some time after its window.
-  const auto late =
+  // The cloud accepts a report until usageDeadline after its window.
+  const auto openWindows =
     static_cast<std::uint64_t>(bounds.usageDeadline / bounds.usageWindow);
-  for (std::uint64_t window = current - late; window < current; ++window) {
+  for (std::uint64_t window = current - openWindows; window < current;
+       ++window) {
     const std::int64_t age = now - this->state.usage.WindowEnd(window);
     const bool due = Millis(age) >= kReportDelay &&
                      Millis(age) < bounds.usageDeadline &&
@@ -104,24 +106,24 @@
 DutyRunner::IsReportComplete(std::uint64_t aWindow, Millis aAge)
 {
   if (this->dutyLog.UsageReports().contains(aWindow)) {
-    return true; // its counts are decided
+    return true; // its counts are recorded already
   }
-  const auto owing =
+  const auto pending =
     this->state.peers.PendingDaemons(aWindow, ServingState::Now());
-  if (owing.empty()) {
+  if (pending.empty()) {
     return true;
   }
-  const auto late =
+  const auto deadline =
     static_cast<double>(this->state.settings.bounds.usageDeadline.count());
-  const bool longEnough =
-    static_cast<double>(aAge.count()) >= kCountsWaitFraction * late;
-  if (longEnough) {
+  const bool waitExceeded =
+    static_cast<double>(aAge.count()) >= kCountsWaitFraction * deadline;
+  if (waitExceeded) {
     this->state.log.Emit(Event("usage.incomplete")
                            .With("window", aWindow)
-                           .With("daemons", owing.size())
-                           .With("first", owing.front()));
+                           .With("daemons", pending.size())
+                           .With("first", pending.front()));
   }
-  return longEnough;
+  return waitExceeded;
 }
 
 Task<void>
@@ -129,9 +131,9 @@
 {
   if (!this->dutyLog.UsageReports().contains(aWindow)) {
     std::map<TeamId, std::uint64_t> counts = this->state.peers.Usage(aWindow);
-    const auto own = this->state.usage.All().find(aWindow);
-    if (own != this->state.usage.All().end()) {
-      for (const auto& [team, count] : own->second) {
+    const auto localCounts = this->state.usage.All().find(aWindow);
+    if (localCounts != this->state.usage.All().end()) {
+      for (const auto& [team, count] : localCounts->second) {
         counts[team] += count;
       }
     }
@@ -142,13 +144,13 @@
       entry->set_team(team.value);
       entry->set_count(count);
     }
-    const bool stands = co_await this->AppendRecord(std::move(record));
-    if (!stands) {
+    const bool appended = co_await this->AppendRecord(std::move(record));
+    if (!appended) {
       co_return;
     }
   }
-  const bool holds = co_await this->ConfirmClaim();
-  if (!holds) {
+  const bool confirmed = co_await this->ConfirmClaim();
+  if (!confirmed) {
     co_return;
   }
   std::map<TeamId, std::uint64_t> recorded;
@@ -200,17 +202,17 @@
     if (!service.scale || !service.engine) {
       continue;
     }
-    const double needed = this->RecentPeakDemand(service, now);
+    const double required = this->RecentPeakDemand(service, now);
     this->planner.SetLostEngines(id,
                                  EnginesLostToRateLimits(this->state, id, now));
     const std::vector<GroupTarget> orders =
       this->planner.Plan(service,
-                         needed,
+                         required,
                          this->state.backends,
                          this->state.rollouts.Find(id),
                          now);
     if (!orders.empty() && this->HoldsDuties()) {
-      co_await this->RecordAndSendOrders(orders, needed);
+      co_await this->RecordAndSendOrders(orders, required);
     }
   }
   while (this->pendingOrders > 0) {
@@ -221,17 +223,17 @@
 double
 DutyRunner::RecentPeakDemand(const ServiceSpec& aService, TimePoint aNow)
 {
-  const double needed = RequiredEnginesNow(this->state, aService, aNow).Max();
-  RecentMax& lately =
+  const double required = RequiredEnginesNow(this->state, aService, aNow).Max();
+  RecentMax& recentMax =
     this->peakDemand.try_emplace(aService.id, ScalePlanner::kDemandWindow)
       .first->second;
-  lately.Add(needed, aNow);
-  return lately.Value();
+  recentMax.Add(required, aNow);
+  return recentMax.Value();
 }
 
 Task<void>
 DutyRunner::RecordAndSendOrders(std::vector<GroupTarget> aOrders,
-                                double aNeeded)
+                                double aRequired)
 {
   serving::DutyRecord record;
   for (const GroupTarget& order : aOrders) {
@@ -241,19 +243,19 @@
     decision->set_desired(order.desired);
     decision->set_reclaimable(order.group.reclaimable);
   }
-  const bool stands = co_await this->AppendRecord(std::move(record));
-  if (!stands) {
+  const bool appended = co_await this->AppendRecord(std::move(record));
+  if (!appended) {
     co_return;
   }
   Worker& worker = this->state.pool.First();
   for (const GroupTarget& order : aOrders) {
     ++this->pendingOrders;
-    worker.Spawn(this->SendOrder(order, this->state.dutyFence, aNeeded));
+    worker.Spawn(this->SendOrder(order, this->state.dutyFence, aRequired));
   }
 }
 
 Task<void>
-DutyRunner::SendOrder(GroupTarget aOrder, Position aFence, double aNeeded)
+DutyRunner::SendOrder(GroupTarget aOrder, Position aFence, double aRequired)
 {
   const EngineGroup& group = aOrder.group;
   const ScaleOrder order{
@@ -268,7 +270,7 @@
       .With("zone", group.zone)
       .With("desired", aOrder.desired)
       .With("reclaimable", group.reclaimable ? 1 : 0)
-      .With("needed_tenths", static_cast<std::int64_t>(aNeeded * 10))
+      .With("needed_tenths", static_cast<std::int64_t>(aRequired * 10))
       .With("status", status)
       .With("fence", aFence.value));
   const TimePoint now = ServingState::Now();
--- a/src/serve/EngineDemand.cpp
+++ b/src/serve/EngineDemand.cpp
@@ -31,24 +31,27 @@
                         const ServiceId& aService,
                         TimePoint aNow)
 {
-  std::vector<RequestRate> named;
+  std::vector<RequestRate> reportedLimits;
   std::size_t engines = 0;
   for (const Backend* backend : aState.backends.ForService(aService)) {
     if (backend->leaving) {
       continue;
     }
     ++engines;
-    if (const auto rate = aState.engineLimits.RateOf(backend->entry.id, aNow)) {
-      named.push_back(*rate);
+    if (const auto limit =
+          aState.engineLimits.RateOf(backend->entry.id, aNow)) {
+      reportedLimits.push_back(*limit);
     }
   }
-  if (named.empty()) {
+  if (reportedLimits.empty()) {
     return 0;
   }
-  const double own = aState.retries.RecentRequestRate(aService, aNow).perSecond;
+  const double localRate =
+    aState.retries.RecentRequestRate(aService, aNow).perSecond;
   const auto daemons = static_cast<double>(aState.DaemonCount());
-  const RequestRate usual{ own * daemons / static_cast<double>(engines) };
-  return ScalePlanner::LostToRateLimits(named, usual);
+  const RequestRate usualRate{ localRate * daemons /
+                               static_cast<double>(engines) };
+  return ScalePlanner::LostToRateLimits(reportedLimits, usualRate);
 }
 
 } // namespace toucanshed
--- a/src/serve/EngineDemand.h
+++ b/src/serve/EngineDemand.h
@@ -1,5 +1,5 @@
 /** \file
- * How many engines a service's callers need now, as one daemon knows it.
+ * How many engines a service's callers require now, as far as one daemon knows.
  */
 #pragma once
 
@@ -11,16 +11,16 @@
 struct ServiceSpec;
 struct ServingState;
 
-/** Engines that bear what callers ask of a service at all daemons. None for a
- * service of which nothing is known that would tell.
- * Thread safety: called on the worker that owns aState. */
+/** Engines that can serve the demand on a service at all daemons. None for a
+ * service of which too little is known. Thread safety: called on the worker
+ * that owns aState. */
 RequiredEngines
 RequiredEnginesNow(ServingState& aState,
                    const ServiceSpec& aService,
                    TimePoint aNow);
 
-/** Engines of the service whose work others must do, as they are in need.
- * Thread safety: as above. */
+/** Capacity, in engines of the service, that rate limits take away and that
+ * other engines must provide. Thread safety: as above. */
 double
 EnginesLostToRateLimits(ServingState& aState,
                         const ServiceId& aService,
--- a/src/serve/LocalResponses.cpp
+++ b/src/serve/LocalResponses.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** First and longest wait of a refused caller. A place frees within some
- * hundred ms, the time that a short answer takes. */
+/** Shortest delay of a rejected caller and the random addition to it. A slot
+ * frees up within some hundred ms, the time of a short response. */
 constexpr Millis kMinRetryDelay{ 150 };
 constexpr Millis kRetryDelayJitter{ 600 };
 
@@ -23,33 +23,34 @@
                   const AttemptId& aAttempt,
                   unsigned aStatus,
                   const std::string& aReason,
-                  std::optional<Millis> aComeBack)
+                  std::optional<Millis> aRetryAfter)
 {
   const boost::json::object body{ { "error", aReason },
                                   { "request", aAttempt.value } };
-  HttpResponse reply =
+  HttpResponse response =
     MakeResponse(aStatus, boost::json::serialize(body) + "\n");
-  if (aComeBack) {
+  if (aRetryAfter) {
     constexpr double kMillis = 1000;
     std::array<char, 32> text{};
     std::snprintf(text.data(),
                   text.size(),
                   "%.3f",
-                  static_cast<double>(aComeBack->count()) / kMillis);
-    reply.set(http::field::retry_after, text.data());
+                  static_cast<double>(aRetryAfter->count()) / kMillis);
+    response.set(http::field::retry_after, text.data());
   }
-  aState.wire.callers.completeLocalResponse(aAttempt, reply);
-  return reply;
+  aState.wire.callers.completeLocalResponse(aAttempt, response);
+  return response;
 }
 
 Millis
-RetryDelayFor(ServingState& aState, Millis aLeft)
+RetryDelayFor(ServingState& aState, Millis aTimeLeft)
 {
-  constexpr int kUsedPart = 4; // a little less than the third that is waited
-  const auto spread = Millis(static_cast<std::int64_t>(aState.random.NextBelow(
+  // A little less than the third of their time that callers wait.
+  constexpr int kWaitDivisor = 4;
+  const auto jitter = Millis(static_cast<std::int64_t>(aState.random.NextBelow(
     static_cast<std::uint64_t>(kRetryDelayJitter.count()))));
-  const Millis most = std::max(Millis(1), aLeft / kUsedPart);
-  return std::min(kMinRetryDelay + spread, most);
+  const Millis maxDelay = std::max(Millis(1), aTimeLeft / kWaitDivisor);
+  return std::min(kMinRetryDelay + jitter, maxDelay);
 }
 
 } // namespace toucanshed
--- a/src/serve/LocalResponses.h
+++ b/src/serve/LocalResponses.h
@@ -1,5 +1,5 @@
 /** \file
- * Answers that this system gives itself, without a back end.
+ * Responses that the daemon makes itself, without a back end.
  */
 #pragma once
 
@@ -13,20 +13,20 @@
 
 struct ServingState;
 
-/** An answer with a reason for a person.
- * \param aComeBack when the caller may try again; only where the request has
- *   not run. */
+/** Makes a response with a human-readable reason.
+ * \param aRetryAfter when the caller may try again; only where the request has
+ * not run. */
 HttpResponse
 MakeLocalResponse(const ServingState& aState,
                   const AttemptId& aAttempt,
                   unsigned aStatus,
                   const std::string& aReason,
-                  std::optional<Millis> aComeBack);
+                  std::optional<Millis> aRetryAfter);
 
-/** When a refused caller should come back. Spread at random, so that callers
- * that were refused together do not return together and are refused again;
- * within a third of the time it has left, since callers wait no longer. */
+/** Delay after which a rejected caller should retry. It is random, so that
+ * callers that were rejected together do not return together and are rejected
+ * again. It stays within a third of aTimeLeft, since callers wait no longer. */
 Millis
-RetryDelayFor(ServingState& aState, Millis aLeft);
+RetryDelayFor(ServingState& aState, Millis aTimeLeft);
 
 } // namespace toucanshed
--- a/src/serve/OperatorRecords.cpp
+++ b/src/serve/OperatorRecords.cpp
@@ -10,13 +10,13 @@
 LogTeamLimits(ServingState& aState, const Catalog& aCatalog)
 {
   for (const Team& team : aCatalog.teams) {
-    const auto known = aState.catalog == nullptr
-                         ? nullptr
-                         : aState.catalog->FindTeamById(team.id);
-    const bool same = known != nullptr &&
-                      known->ratePerSecond == team.ratePerSecond &&
-                      known->burst == team.burst;
-    if (!same) {
+    const auto current = aState.catalog == nullptr
+                           ? nullptr
+                           : aState.catalog->FindTeamById(team.id);
+    const bool unchanged = current != nullptr &&
+                           current->ratePerSecond == team.ratePerSecond &&
+                           current->burst == team.burst;
+    if (!unchanged) {
       aState.log.Emit(
         Event("team.limit")
           .With("team", team.id)
@@ -37,8 +37,8 @@
                       .With("reason", parsed.error().message));
     return;
   }
-  // A late answer or a newest record read again must not bring back what a
-  // newer version has replaced.
+  // A late response, or a latest record that is read again, must not restore
+  // what a newer version has replaced.
   const bool older =
     aState.catalog != nullptr && parsed->version <= aState.catalog->version;
   if (older) {
--- a/src/serve/OperatorRecords.h
+++ b/src/serve/OperatorRecords.h
@@ -1,5 +1,5 @@
 /** \file
- * Takes in what operators write to the store.
+ * Applies what operators write to the store.
  */
 #pragma once
 
@@ -8,9 +8,9 @@
 struct KeyedRecord;
 struct ServingState;
 
-/** A configuration, or the order for a move to another version. An older
- * configuration than the one in force changes nothing. Thread safety: belongs
- * to the worker. */
+/** Applies a configuration, or the order for a rollout of another version. A
+ * configuration older than the one in force changes nothing.
+ * Thread safety: belongs to the worker. */
 void
 ApplyOperatorRecord(ServingState& aState, const KeyedRecord& aRecord);
 
--- a/src/serve/PeerMessenger.cpp
+++ b/src/serve/PeerMessenger.cpp
@@ -18,25 +18,26 @@
 
 namespace {
 
-/** The daemons' addresses are read again this often. Of two daemons the one
- * that reads them later finds the other's, and goes on speaking to it, so this
- * only finds again who was silent for so long that it was forgotten. */
+/** Interval at which the daemons' addresses are read again. Of two daemons the
+ * one that reads them later finds the other's address and keeps sending to it.
+ * A reread only finds peers that were unreachable for so long that they were
+ * removed. */
 constexpr Millis kMembersSyncInterval = PeerTable::kPeerRetention;
 constexpr Millis kMembersRetryInterval{ 500 };
-/** Larger than any word of a hundred back ends. */
+/** Larger than any heartbeat with a hundred back ends. */
 constexpr std::size_t kMaxDatagramBytes = 60000;
-/** Evidence is told in datagrams of about this size, so that with the entry
- * that completes one it fits a packet of 1,500 bytes. */
+/** Evidence is sent in datagrams of about this size, so that with the entry
+ * that completes it a datagram fits a packet of 1,500 bytes. */
 constexpr std::size_t kEvidenceBatchBytes = 900;
-/** Within so long after a window's end every daemon tells what it has counted
- * in it, each at a time of its own: told at once by hundreds, it would fill the
- * link of the daemon that reports it. */
+/** Within this time after a window's end every daemon sends its counts of the
+ * window, each at a random time. If hundreds sent them at once, they would fill
+ * the link of the daemon that reports them. */
 constexpr Millis kWindowSendJitter{ 800 };
-/** An engine's limit is told within so long of the answer that named it, at a
- * random time: many daemons have such an answer at once, and the first word
- * spares the others theirs. */
+/** An engine's limit is sent within this time of the response that named it, at
+ * a random time. Many daemons get such a response at once, and the first report
+ * saves the others theirs. */
 constexpr std::uint64_t kLimitSendJitterMs = 100;
-/** Daemons' ideas of true time differ by less than this. */
+/** The daemons' estimates of cluster time differ by less than this. */
 constexpr Millis kMaxClockSkew{ 50 };
 
 } // namespace
@@ -63,8 +64,8 @@
   }
   this->state.sendPromptNotice = [this](const InstanceId& aBackend,
                                         std::int64_t aPromptTokens,
-                                        const std::string& aSharedPart) {
-    this->SendPromptNotice(aBackend, aPromptTokens, aSharedPart);
+                                        const std::string& aSharedSection) {
+    this->SendPromptNotice(aBackend, aPromptTokens, aSharedSection);
   };
   this->state.sendQuota = [this](const TeamId& aTeam) {
     this->SendQuota(aTeam);
@@ -75,9 +76,9 @@
       this->state.pool.First().Spawn(this->SendRateLimits());
     }
   };
-  this->state.sendStoreRead = [this](const serving::StoreReadReport& aWord) {
+  this->state.sendStoreRead = [this](const serving::StoreReadReport& aReport) {
     serving::Datagram datagram;
-    *datagram.mutable_store() = aWord;
+    *datagram.mutable_store() = aReport;
     this->SendDatagram(datagram, this->state.peers.Addresses());
   };
   Worker& worker = this->state.pool.First();
@@ -100,9 +101,9 @@
       from,
       net::redirect_error(net::use_awaitable, error));
     serving::Datagram datagram;
-    const bool whole =
+    const bool valid =
       !error && datagram.ParseFromArray(buffer.data(), static_cast<int>(size));
-    if (whole) {
+    if (valid) {
       this->HandleDatagram(datagram);
     } else {
       this->state.metrics.Count("toucanshed_unreadable_words_total");
@@ -132,14 +133,16 @@
     ApplyStoreReadReport(this->state, aDatagram.store());
   }
   if (aDatagram.has_sent()) {
-    const serving::PromptNotice& sent = aDatagram.sent();
-    this->state.peers.ReceiveSendNotice(sent);
-    this->state.prefixCacheIndex.RecordUse(
-      sent.shared_part(), InstanceId{ sent.backend() }, ServingState::Now());
-    Backend* backend = this->state.backends.Find(InstanceId{ sent.backend() });
+    const serving::PromptNotice& notice = aDatagram.sent();
+    this->state.peers.ReceiveSendNotice(notice);
+    this->state.prefixCacheIndex.RecordUse(notice.shared_part(),
+                                           InstanceId{ notice.backend() },
+                                           ServingState::Now());
+    Backend* backend =
+      this->state.backends.Find(InstanceId{ notice.backend() });
     if (backend != nullptr) {
       backend->remoteLoad.running += 1;
-      backend->remoteLoad.promptTokens += sent.prompt_tokens();
+      backend->remoteLoad.promptTokens += notice.prompt_tokens();
     }
   }
 }
@@ -147,40 +150,40 @@
 void
 PeerMessenger::SendPromptNotice(const InstanceId& aBackend,
                                 std::int64_t aPromptTokens,
-                                const std::string& aSharedPart)
+                                const std::string& aSharedSection)
 {
-  const bool told = aPromptTokens >= kMinNoticeTokens &&
-                    this->state.DaemonCount() <= kMaxNoticeDaemons;
-  if (!told) {
+  const bool reported = aPromptTokens >= kMinNoticeTokens &&
+                        this->state.DaemonCount() <= kMaxNoticeDaemons;
+  if (!reported) {
     return;
   }
   serving::Datagram datagram;
   datagram.mutable_sent()->set_id(this->state.settings.id.value);
   datagram.mutable_sent()->set_backend(aBackend.value);
   datagram.mutable_sent()->set_prompt_tokens(aPromptTokens);
-  datagram.mutable_sent()->set_shared_part(aSharedPart);
+  datagram.mutable_sent()->set_shared_part(aSharedSection);
   this->SendDatagram(datagram, this->state.peers.Addresses());
 }
 
 void
-PeerMessenger::HandleHeartbeat(const serving::DaemonHeartbeat& aWord)
+PeerMessenger::HandleHeartbeat(const serving::DaemonHeartbeat& aHeartbeat)
 {
   const TimePoint now = ServingState::Now();
-  if (!this->state.peers.ReceiveHeartbeat(aWord, now)) {
+  if (!this->state.peers.ReceiveHeartbeat(aHeartbeat, now)) {
     return;
   }
-  this->state.limitShares.RecordHeartbeat(DaemonId{ aWord.id() }, now);
-  for (const serving::RateLimitState& limit : aWord.limits()) {
-    this->HandleRateLimit(limit, aWord.id());
+  this->state.limitShares.RecordHeartbeat(DaemonId{ aHeartbeat.id() }, now);
+  for (const serving::RateLimitState& limit : aHeartbeat.limits()) {
+    this->HandleRateLimit(limit, aHeartbeat.id());
   }
   this->state.quotaExchange.ReceiveReport(
-    aWord.quota(), QuotaReportTiming::ePeriodic, now);
-  for (const serving::BackendState& backend : aWord.backends()) {
+    aHeartbeat.quota(), QuotaReportTiming::ePeriodic, now);
+  for (const serving::BackendState& backend : aHeartbeat.backends()) {
     if (backend.leaving()) {
       this->state.backends.MarkLeaving(InstanceId{ backend.id() });
     }
   }
-  for (const serving::FactState& fact : aWord.facts()) {
+  for (const serving::FactState& fact : aHeartbeat.facts()) {
     FactEntry entry;
     entry.key = fact.key();
     entry.expires = now + Millis(fact.remaining_ms());
@@ -189,30 +192,30 @@
 }
 
 void
-PeerMessenger::HandleRateLimit(const serving::RateLimitState& aWord,
+PeerMessenger::HandleRateLimit(const serving::RateLimitState& aLimit,
                                const std::string& aFrom)
 {
-  const InstanceId id{ aWord.backend() };
+  const InstanceId id{ aLimit.backend() };
   const Backend* backend = this->state.backends.Find(id);
-  const bool sameLife =
-    backend != nullptr && backend->entry.incarnation == aWord.born();
-  if (!sameLife) {
+  const bool sameIncarnation =
+    backend != nullptr && backend->entry.incarnation == aLimit.born();
+  if (!sameIncarnation) {
     return;
   }
   const TimePoint now = ServingState::Now();
-  const LimitUpdate news{ id,
-                          aWord.born(),
-                          RequestRate{ aWord.per_s() },
-                          aWord.ended(),
-                          now - Millis(aWord.age_ms()) };
-  if (this->state.engineLimits.ReceiveUpdate(news, now)) {
+  const LimitUpdate update{ id,
+                            aLimit.born(),
+                            RequestRate{ aLimit.per_s() },
+                            aLimit.ended(),
+                            now - Millis(aLimit.age_ms()) };
+  if (this->state.engineLimits.ReceiveUpdate(update, now)) {
     this->state.log.Emit(
       Event("backend.limit")
         .With("backend", id)
         .With("per_s",
-              news.ended ? "none" : std::to_string(news.rate.perSecond))
+              update.ended ? "none" : std::to_string(update.rate.perSecond))
         .With("from", aFrom)
-        .With("answer_ms_ago", aWord.age_ms()));
+        .With("answer_ms_ago", aLimit.age_ms()));
   }
 }
 
@@ -234,11 +237,11 @@
   while (true) {
     const std::uint64_t window =
       this->state.usage.WindowAt(this->state.ClusterTimeMs());
-    const Millis left(this->state.usage.WindowEnd(window) -
-                      this->state.ClusterTimeMs());
-    const Millis turn(this->state.random.NextBelow(
+    const Millis untilEnd(this->state.usage.WindowEnd(window) -
+                          this->state.ClusterTimeMs());
+    const Millis delay(this->state.random.NextBelow(
       static_cast<std::uint64_t>(kWindowSendJitter.count())));
-    co_await Sleep(left + kMaxClockSkew + turn);
+    co_await Sleep(untilEnd + kMaxClockSkew + delay);
     serving::Datagram datagram;
     *datagram.mutable_ledger() = MakeWindowLedger(this->state, window);
     const TimePoint now = ServingState::Now();
@@ -247,21 +250,21 @@
 }
 
 void
-PeerMessenger::SendEvidence(const std::vector<std::string>& aKeepers)
+PeerMessenger::SendEvidence(const std::vector<std::string>& aCandidates)
 {
-  serving::Datagram part;
-  for (const Rollout& move : this->state.rollouts.Active()) {
-    for (peer::Evidence& own :
-         this->state.evidence.LocalEvidence(move.order.position)) {
-      *part.mutable_evidence()->add_evidence() = std::move(own);
-      if (part.ByteSizeLong() >= kEvidenceBatchBytes) {
-        this->SendDatagram(part, aKeepers);
-        part.Clear();
+  serving::Datagram batch;
+  for (const Rollout& rollout : this->state.rollouts.Active()) {
+    for (peer::Evidence& evidence :
+         this->state.evidence.LocalEvidence(rollout.order.position)) {
+      *batch.mutable_evidence()->add_evidence() = std::move(evidence);
+      if (batch.ByteSizeLong() >= kEvidenceBatchBytes) {
+        this->SendDatagram(batch, aCandidates);
+        batch.Clear();
       }
     }
   }
-  if (part.has_evidence()) {
-    this->SendDatagram(part, aKeepers);
+  if (batch.has_evidence()) {
+    this->SendDatagram(batch, aCandidates);
   }
 }
 
@@ -283,25 +286,26 @@
 }
 
 void
-PeerMessenger::HandleQuotaReport(const serving::QuotaReport& aWord)
+PeerMessenger::HandleQuotaReport(const serving::QuotaReport& aReport)
 {
   this->state.quotaExchange.ReceiveReport(
-    aWord, QuotaReportTiming::eImmediate, ServingState::Now());
-  if (!aWord.ask()) {
+    aReport, QuotaReportTiming::eImmediate, ServingState::Now());
+  if (!aReport.ask()) {
     return;
   }
-  serving::Datagram answer;
-  *answer.mutable_quota() = MakeQuotaReport(this->state);
-  this->SendDatagram(answer, { aWord.address() });
+  serving::Datagram reply;
+  *reply.mutable_quota() = MakeQuotaReport(this->state);
+  this->SendDatagram(reply, { aReport.address() });
 }
 
 Millis
 PeerMessenger::NextInterval()
 {
   const Millis mean = MeanInterval(this->state.DaemonCount());
-  const auto spread = static_cast<std::uint64_t>(mean.count()) / kJitterDivisor;
-  return mean - Millis(spread / 2) +
-         Millis(this->state.random.NextBelow(spread));
+  const auto jitterRange =
+    static_cast<std::uint64_t>(mean.count()) / kJitterDivisor;
+  return mean - Millis(jitterRange / 2) +
+         Millis(this->state.random.NextBelow(jitterRange));
 }
 
 void
@@ -344,11 +348,11 @@
 void
 PeerMessenger::SendToDutyCandidates(TimePoint aNow)
 {
-  const auto keepers = this->state.peers.DutyCandidateAddresses(aNow);
+  const auto candidates = this->state.peers.DutyCandidateAddresses(aNow);
   serving::Datagram counts;
   *counts.mutable_ledger() = MakeReportableLedger(this->state);
-  this->SendDatagram(counts, keepers);
-  this->SendEvidence(keepers);
+  this->SendDatagram(counts, candidates);
+  this->SendEvidence(candidates);
 }
 
 Task<void>
@@ -356,14 +360,14 @@
 {
   while (true) {
     const Millis interval = this->NextInterval();
-    const auto parts = this->state.peers.AddressBatches(kMaxFanout);
+    const auto batches = this->state.peers.AddressBatches(kMaxFanout);
     this->SendToDutyCandidates(ServingState::Now());
-    for (const std::vector<std::string>& part : parts) {
-      co_await Sleep(interval / static_cast<std::int64_t>(parts.size()));
+    for (const std::vector<std::string>& batch : batches) {
+      co_await Sleep(interval / static_cast<std::int64_t>(batches.size()));
       this->UpdateFromPeers(ServingState::Now());
       serving::Datagram datagram;
       *datagram.mutable_word() = MakeHeartbeat(this->state, ++this->sequence);
-      this->SendDatagram(datagram, part);
+      this->SendDatagram(datagram, batch);
     }
   }
 }
@@ -377,13 +381,13 @@
   own.set_address(PeerAddress(this->state));
   const std::string record = this->state.wire.store.keyedRecord(
     this->state.settings.id.value, own.SerializeAsString());
-  bool written = false;
-  bool asked = false; // the others how the limits are used
+  bool registered = false;
+  bool quotasRequested = false;
   while (true) {
-    if (!written) {
+    if (!registered) {
       const auto appended =
         co_await AppendToStore(this->state, StoreTopic::eMembers, record);
-      written = appended.has_value();
+      registered = appended.has_value();
     }
     const auto members = co_await ReadLatest(this->state, StoreTopic::eMembers);
     if (members) {
@@ -393,9 +397,10 @@
           const DaemonId id{ member.id() };
           this->state.peers.AddPeer(id, member.address());
           this->state.quotaExchange.AddPeer(id, ServingState::Now());
-          // Later on daemons are known by their words, and the list still has
-          // those that are gone for good.
-          if (!asked) {
+          // Only the first read counts the listed daemons: later ones are known
+          // by their heartbeats, and the list still names daemons that are gone
+          // for good.
+          if (!quotasRequested) {
             this->state.limitShares.AddPeer(id, ServingState::Now());
           }
         }
@@ -403,13 +408,13 @@
       this->state.peers.MarkListRead();
       this->state.quotaExchange.MarkListRead();
       this->state.limitShares.MarkListRead();
-      if (!asked) {
-        asked = true;
+      if (!quotasRequested) {
+        quotasRequested = true;
         this->RequestQuotas();
       }
     }
-    co_await Sleep(written && members ? kMembersSyncInterval
-                                      : kMembersRetryInterval);
+    co_await Sleep(registered && members ? kMembersSyncInterval
+                                         : kMembersRetryInterval);
   }
 }
 
--- a/src/serve/PeerMessenger.h
+++ b/src/serve/PeerMessenger.h
@@ -1,5 +1,5 @@
 /** \file
- * Exchanges words with the other daemons by datagrams.
+ * Exchanges peer messages with the other daemons in datagrams.
  */
 #pragma once
 
@@ -16,92 +16,100 @@
 struct ServingState;
 
 /**
- * Datagrams, not a message queue: a word replaces the one before it, so a lost
- * one needs no repeat, and a peer that has gone holds up no queue.
+ * Uses datagrams, not a message queue: each report replaces the one before it,
+ * so a lost one need not be resent, and a peer that is gone blocks no queue.
  *
  * Thread safety: belongs to the worker.
  */
 class PeerMessenger
 {
 public:
-  /** Least time between two words. Placement divides the back ends' places by
-   * what the others have said, so this is how stale that is. */
+  /** Shortest time between two heartbeats of a daemon. Placement divides the
+   * back ends' slots by what the peers have reported, so this is how stale
+   * their reports are. */
   static constexpr Millis kMinInterval{ 150 };
-  /** With many daemons words are further apart, by so much for each: a daemon
-   * then takes in 80 words a second whatever their number. */
+  /** With many daemons heartbeats are further apart, by this much per daemon. A
+   * daemon then receives 80 heartbeats a second whatever the number of daemons.
+   */
   static constexpr Millis kIntervalPerDaemon{ 12 };
 
-  /** Intervals differ at random by up to this part of them, inverted, so that
-   * daemons that started together do not go on speaking together. */
+  /** Intervals vary at random within a range of 1 / kJitterDivisor of their
+   * mean, so that daemons that started together do not keep sending together.
+   */
   static constexpr std::uint64_t kJitterDivisor = 4;
 
-  /** Daemons that one word is said to at once; with more, the interval is
-   * divided between parts of them. Said to a hundred at once, words would
-   * fill the queue of a small link, and what is said after them be lost. */
+  /** Number of daemons that one heartbeat is sent to at once. With more daemons
+   * the interval is divided between batches of them. Sent to a hundred at once,
+   * heartbeats would fill the queue of a slow link, and the datagrams after
+   * them would be lost. */
   static constexpr std::size_t kMaxFanout = 12;
 
   explicit PeerMessenger(ServingState& aState);
 
-  /** Prompts of at least so many tokens are told of at once. They hold up what
-   * arrives after them for tens of ms; by the next word other daemons would
-   * have sent theirs to the same engine, which seemed free to all. */
+  /** Prompts of at least this many tokens are reported at once. They delay what
+   * arrives after them by tens of ms; before the next heartbeat other daemons
+   * would send their prompts to the same engine, which seems idle to all. */
   static constexpr std::int64_t kMinNoticeTokens = 2000;
-  /** Notices cost a datagram a daemon; with more daemons only words are sent,
-   * and the engines are many enough to be spread over by chance. */
+  /** A notice costs a datagram per daemon. With more daemons than this only
+   * heartbeats are sent: there are then enough engines that random choice
+   * spreads the prompts. */
   static constexpr std::size_t kMaxNoticeDaemons = 24;
 
-  /** Tells the others of a prompt that was just sent. */
+  /** Notifies the other daemons of a prompt that was just sent. Short prompts
+   * are not reported, nor any with more than kMaxNoticeDaemons daemons. */
   void SendPromptNotice(const InstanceId& aBackend,
                         std::int64_t aPromptTokens,
-                        const std::string& aSharedPart);
+                        const std::string& aSharedSection);
 
-  /** Mean time between two words of a daemon, among so many. */
+  /** Mean time between two heartbeats of one of aDaemons daemons. */
   [[nodiscard]] static Millis MeanInterval(std::size_t aDaemons)
   {
     const auto daemons = static_cast<std::int64_t>(aDaemons);
     return std::max(kMinInterval, kIntervalPerDaemon * daemons);
   }
 
-  /** Opens the port and starts to speak and listen. */
+  /** Opens the port and starts to send and receive. */
   Result<void> Start();
 
 private:
   Task<void> ReceiveDatagrams();
   Task<void> SendHeartbeats();
-  /** Writes this daemon's address to the store and reads the others'. */
+  /** Writes this daemon's address to the store and reads those of the others.
+   */
   Task<void> SyncMembers();
-  /** Time to the next word. */
+  /** Time to the next heartbeat. */
   Millis NextInterval();
   void SendDatagram(const serving::Datagram& aDatagram,
                     const std::vector<std::string>& aAddresses);
-  /** Tells all at once what was let through for a team. */
+  /** Sends a team's quota report to all daemons at once. */
   void SendQuota(const TeamId& aTeam);
-  /** A daemon that has just started asks how the limits are used, so that it
-   * need not wait for the others' next words. */
+  /** Asks all daemons for their quota reports. A daemon that has just started
+   * then need not wait for their next heartbeats. */
   void RequestQuotas();
-  void HandleQuotaReport(const serving::QuotaReport& aWord);
-  /** Tells all what engines in need have named, unless another daemon does so
-   * first. */
+  void HandleQuotaReport(const serving::QuotaReport& aReport);
+  /** Sends the limits that rate-limited engines have reported to all daemons,
+   * except those that another daemon sends first. */
   Task<void> SendRateLimits();
-  /** Takes in one limit that another daemon tells. */
-  void HandleRateLimit(const serving::RateLimitState& aWord,
+  /** Applies one rate limit that another daemon reports. */
+  void HandleRateLimit(const serving::RateLimitState& aLimit,
                        const std::string& aFrom);
-  /** Tells the keepers what was counted in each window, soon after its end.
-   * Regular words come seconds apart where there are many daemons, too late for
-   * the report. */
+  /** Sends each window's counts to the duty candidates soon after its end. With
+   * many daemons heartbeats are seconds apart, too late for the usage report.
+   */
   Task<void> SendEndedWindows();
-  /** Tells the duties' holder and those that may follow it. */
+  /** Sends usage counts and rollout evidence to the duty holder and to those
+   * that may succeed it. */
   void SendToDutyCandidates(TimePoint aNow);
-  /** Brings up to date what follows from the others' words. */
+  /** Updates all state that is derived from the peers' messages. */
   void UpdateFromPeers(TimePoint aNow);
-  void SendEvidence(const std::vector<std::string>& aKeepers);
+  void SendEvidence(const std::vector<std::string>& aCandidates);
   void HandleDatagram(const serving::Datagram& aDatagram);
-  void HandleHeartbeat(const serving::DaemonHeartbeat& aWord);
+  void HandleHeartbeat(const serving::DaemonHeartbeat& aHeartbeat);
 
   ServingState& state;
   boost::asio::ip::udp::socket socket;
   std::uint64_t sequence = 0;
-  bool limitsSendPending = false; // TellLimits is about to
+  bool limitsSendPending = false; // SendRateLimits is already running
 };
 
 } // namespace toucanshed
--- a/src/serve/PeerReports.cpp
+++ b/src/serve/PeerReports.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 void
-AddBackends(const ServingState& aState, serving::DaemonHeartbeat& aWord)
+AddBackends(const ServingState& aState, serving::DaemonHeartbeat& aHeartbeat)
 {
   for (const auto& [id, backend] : aState.backends.All()) {
-    // That the list says so too, the others know from the list.
+    // Leaving that the list shows too is not sent: the peers read it there.
     const bool leaves = backend.leaving && !backend.entry.leaving;
-    const bool news = backend.localLoad != BackendLoad{} || leaves;
-    if (!news) {
+    const bool hasNews = backend.localLoad != BackendLoad{} || leaves;
+    if (!hasNews) {
       continue;
     }
-    auto* entry = aWord.add_backends();
+    auto* entry = aHeartbeat.add_backends();
     entry->set_id(id.value);
     entry->set_running(backend.localLoad.running);
     entry->set_prompt_tokens(backend.localLoad.promptTokens);
@@ -42,25 +42,25 @@
 }
 
 void
-AddTeamQuota(const QuotaState& aCopy, serving::QuotaReport& aWord)
+AddTeamQuota(const QuotaState& aQuotaState, serving::QuotaReport& aReport)
 {
-  serving::TeamQuotaState* entry = aWord.add_teams();
-  entry->set_team(aCopy.team.value);
-  entry->set_taken(aCopy.taken);
-  entry->set_settled(aCopy.level.has_value());
-  entry->set_level(aCopy.level.value_or(0));
+  serving::TeamQuotaState* entry = aReport.add_teams();
+  entry->set_team(aQuotaState.team.value);
+  entry->set_taken(aQuotaState.taken);
+  entry->set_settled(aQuotaState.level.has_value());
+  entry->set_level(aQuotaState.level.value_or(0));
 }
 
 void
-AddLimit(const LimitUpdate& aNews,
+AddLimit(const LimitUpdate& aUpdate,
          TimePoint aNow,
-         serving::RateLimitState& aWord)
+         serving::RateLimitState& aLimit)
 {
-  aWord.set_backend(aNews.engine.value);
-  aWord.set_born(aNews.incarnation);
-  aWord.set_per_s(aNews.rate.perSecond);
-  aWord.set_ended(aNews.ended);
-  aWord.set_age_ms(static_cast<std::uint64_t>((aNow - aNews.asOf).count()));
+  aLimit.set_backend(aUpdate.engine.value);
+  aLimit.set_born(aUpdate.incarnation);
+  aLimit.set_per_s(aUpdate.rate.perSecond);
+  aLimit.set_ended(aUpdate.ended);
+  aLimit.set_age_ms(static_cast<std::uint64_t>((aNow - aUpdate.asOf).count()));
 }
 
 serving::UsageLedger
@@ -76,11 +76,11 @@
 serving::QuotaReport
 NewQuotaReport(const ServingState& aState)
 {
-  serving::QuotaReport word;
-  word.set_id(aState.settings.id.value);
-  word.set_life(aState.incarnation);
-  word.set_address(PeerAddress(aState));
-  return word;
+  serving::QuotaReport report;
+  report.set_id(aState.settings.id.value);
+  report.set_life(aState.incarnation);
+  report.set_address(PeerAddress(aState));
+  return report;
 }
 
 } // namespace
@@ -117,69 +117,69 @@
 serving::QuotaReport
 MakeQuotaReport(const ServingState& aState)
 {
-  serving::QuotaReport word = NewQuotaReport(aState);
-  for (const QuotaState& copy :
+  serving::QuotaReport report = NewQuotaReport(aState);
+  for (const QuotaState& quotaState :
        aState.quotas.BucketStates(ServingState::Now())) {
-    AddTeamQuota(copy, word);
+    AddTeamQuota(quotaState, report);
   }
-  return word;
+  return report;
 }
 
 serving::QuotaReport
 MakeTeamQuotaReport(ServingState& aState, const TeamId& aTeam)
 {
-  serving::QuotaReport word = NewQuotaReport(aState);
-  AddTeamQuota(aState.quotas.TakeReport(aTeam, ServingState::Now()), word);
-  return word;
+  serving::QuotaReport report = NewQuotaReport(aState);
+  AddTeamQuota(aState.quotas.TakeReport(aTeam, ServingState::Now()), report);
+  return report;
 }
 
 serving::RateLimitReport
 TakeUrgentLimits(ServingState& aState)
 {
-  serving::RateLimitReport word;
-  word.set_id(aState.settings.id.value);
-  for (const LimitUpdate& news : aState.engineLimits.TakeUrgentUpdates()) {
-    AddLimit(news, ServingState::Now(), *word.add_limits());
+  serving::RateLimitReport report;
+  report.set_id(aState.settings.id.value);
+  for (const LimitUpdate& update : aState.engineLimits.TakeUrgentUpdates()) {
+    AddLimit(update, ServingState::Now(), *report.add_limits());
   }
-  return word;
+  return report;
 }
 
 serving::DaemonHeartbeat
 MakeHeartbeat(ServingState& aState, std::uint64_t aSequence)
 {
   const TimePoint now = ServingState::Now();
-  serving::DaemonHeartbeat word;
-  word.set_id(aState.settings.id.value);
-  word.set_life(aState.incarnation);
-  word.set_sequence(aSequence);
-  word.set_zone(aState.settings.zone.value);
-  word.set_address(PeerAddress(aState));
-  word.set_wall_ms(ServingState::WallMs());
-  word.set_stopping(aState.stopping);
-  word.set_store_lost(aState.storeLostSince.has_value());
-  word.set_duty_fence(aState.dutyFence.value);
-  word.set_duty_end(aState.dutyLogEnd.value);
+  serving::DaemonHeartbeat heartbeat;
+  heartbeat.set_id(aState.settings.id.value);
+  heartbeat.set_life(aState.incarnation);
+  heartbeat.set_sequence(aSequence);
+  heartbeat.set_zone(aState.settings.zone.value);
+  heartbeat.set_address(PeerAddress(aState));
+  heartbeat.set_wall_ms(ServingState::WallMs());
+  heartbeat.set_stopping(aState.stopping);
+  heartbeat.set_store_lost(aState.storeLostSince.has_value());
+  heartbeat.set_duty_fence(aState.dutyFence.value);
+  heartbeat.set_duty_end(aState.dutyLogEnd.value);
   if (aState.catalog != nullptr) {
-    word.set_catalog_version(aState.catalog->version);
+    heartbeat.set_catalog_version(aState.catalog->version);
   }
-  AddBackends(aState, word);
-  *word.mutable_quota() = MakeQuotaReport(aState);
-  for (const LimitUpdate& news : aState.engineLimits.TakeHeartbeatUpdates()) {
-    AddLimit(news, now, *word.add_limits());
+  AddBackends(aState, heartbeat);
+  *heartbeat.mutable_quota() = MakeQuotaReport(aState);
+  for (const LimitUpdate& update : aState.engineLimits.TakeHeartbeatUpdates()) {
+    AddLimit(update, now, *heartbeat.add_limits());
   }
   for (const auto& [service, meter] : aState.promptRates) {
-    auto* entry = word.add_services();
+    auto* entry = heartbeat.add_services();
     entry->set_service(service.value);
     entry->set_prompt_tokens_per_s(meter.At(now));
   }
   const std::size_t daemons = aState.DaemonCount();
   for (const FactEntry& fact : aState.facts.TakeForGossip(daemons)) {
-    auto* entry = word.add_facts();
+    auto* entry = heartbeat.add_facts();
     entry->set_key(fact.key);
     entry->set_remaining_ms(
       static_cast<std::uint64_t>((fact.expires - now).count()));
   }
-  return word;
+  return heartbeat;
 }
 
 } // namespace toucanshed
--- a/src/serve/PeerReports.h
+++ b/src/serve/PeerReports.h
@@ -1,5 +1,5 @@
 /** \file
- * What a daemon says of itself to the others, made from its state.
+ * Builds the messages in which a daemon reports its state to its peers.
  */
 #pragma once
 
@@ -15,32 +15,32 @@
 
 // Thread safety of all: called on the worker that owns aState.
 
-/** Where the others' words reach this daemon, as IP:PORT. */
+/** Where the other daemons' datagrams reach this daemon, as IP:PORT. */
 std::string
 PeerAddress(const ServingState& aState);
 
-/** The regular word.
- * \param aSequence larger than that of this life's word before it */
+/** Builds the periodic heartbeat.
+ * \param aSequence larger than that of this incarnation's previous heartbeat */
 serving::DaemonHeartbeat
 MakeHeartbeat(ServingState& aState, std::uint64_t aSequence);
 
-/** The counts of all windows that can still be reported. A holder that has just
- * started again hears so of those before its start. */
+/** Builds the counts of all windows that can still be reported. A duty holder
+ * that has just restarted thereby receives those from before its start. */
 serving::UsageLedger
 MakeReportableLedger(const ServingState& aState);
-/** The counts of one window. */
+/** Builds the counts of one window. */
 serving::UsageLedger
 MakeWindowLedger(const ServingState& aState, std::uint64_t aWindow);
 
-/** Limits of engines in need that the others must hear at once; they count as
- * told from here on. */
+/** Builds a report of the rate limits that the other daemons must receive at
+ * once, and marks them as reported. */
 serving::RateLimitReport
 TakeUrgentLimits(ServingState& aState);
 
-/** How the limits of all teams are used here. */
+/** Builds a report of how the limits of all teams are used here. */
 serving::QuotaReport
 MakeQuotaReport(const ServingState& aState);
-/** The same of one team, which counts as told from here on. */
+/** Builds the same for one team, and marks its usage as reported. */
 serving::QuotaReport
 MakeTeamQuotaReport(ServingState& aState, const TeamId& aTeam);
 
--- a/src/serve/RequestForwarder.cpp
+++ b/src/serve/RequestForwarder.cpp
@@ -15,17 +15,18 @@
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
-/** Sends of one request, those that back ends turned away with them. More
- * would hold the caller longer than coming back takes. */
+/** Limit of sends per request, including those that back ends rejected. Further
+ * sends would hold the caller longer than a retry by the caller takes. */
 constexpr unsigned kMaxSends = 4;
-/** Time to open a connection; in one region it takes a millisecond, and a lost
- * first packet is sent again after a second. */
+/** Timeout of opening a connection. In one region that takes a millisecond; a
+ * lost first packet is sent again only after a second. */
 constexpr Millis kConnectTimeout{ 350 };
-/** What is left must suffice for a back end to begin; a send with less would
- * only take its time. */
+/** The time left must allow a back end to begin its response; a send with less
+ * would only use the back end's time. */
 constexpr Millis kMinTimeLeft{ 20 };
-/** A request that may run elsewhere is not waited for beyond so many times its
- * target: by then the back end hangs more often than it is slow. */
+/** A request that may run on another back end times out after this many times
+ * its latency target: a back end that has taken so long more often hangs than
+ * is slow. */
 constexpr double kAttemptTimeoutTargets = 2.5;
 constexpr Millis kMinAttemptTimeout{ 700 };
 
@@ -33,7 +34,7 @@
 NameOf(SendOutcome aOutcome)
 {
   switch (aOutcome) {
-    case SendOutcome::eAnswered:
+    case SendOutcome::eResponded:
       return "answered";
     case SendOutcome::eNotRun:
       return "not_run";
@@ -89,11 +90,11 @@
 std::optional<Placement>
 RequestForwarder::ChooseBackend()
 {
-  PlacementRequest wanted;
-  wanted.prompt = this->request.incoming.prompt;
-  wanted.triedBackends = this->triedBackends;
-  wanted.cachedBackends = this->state.prefixCacheIndex.CachedBackends(
-    SharedSectionId(wanted.prompt), ServingState::Now());
+  PlacementRequest placementRequest;
+  placementRequest.prompt = this->request.incoming.prompt;
+  placementRequest.triedBackends = this->triedBackends;
+  placementRequest.cachedBackends = this->state.prefixCacheIndex.CachedBackends(
+    SharedSectionId(placementRequest.prompt), ServingState::Now());
   const ServiceSpec* spec =
     this->request.catalog->FindService(this->request.service);
   const EngineTraits* traits =
@@ -107,13 +108,13 @@
                                         this->request.incoming.attempt,
                                         now);
   });
-  this->ExcludeRateLimited(backends, wanted.rateLimited, now);
-  return this->ServicePlacer().Choose(backends, wanted, traits, now);
+  this->ExcludeRateLimited(backends, placementRequest.rateLimited, now);
+  return this->ServicePlacer().Choose(backends, placementRequest, traits, now);
 }
 
 void
 RequestForwarder::ExcludeRateLimited(std::vector<Backend*>& aBackends,
-                                     std::set<InstanceId>& aHaveRoom,
+                                     std::set<InstanceId>& aAllowed,
                                      TimePoint aNow)
 {
   this->rateLimitWait.reset();
@@ -123,11 +124,11 @@
   }
   std::erase_if(aBackends, [&](const Backend* aBackend) {
     const InstanceId& id = aBackend->entry.id;
-    const LimitDecision use = limits.Check(id, aNow);
-    if (use == LimitDecision::eAllowed) {
-      aHaveRoom.insert(id);
+    const LimitDecision decision = limits.Check(id, aNow);
+    if (decision == LimitDecision::eAllowed) {
+      aAllowed.insert(id);
     }
-    if (use != LimitDecision::eExhausted) {
+    if (decision != LimitDecision::eExhausted) {
       return false;
     }
     const Millis wait = limits.RetryDelay(id, aNow);
@@ -139,18 +140,18 @@
 DeferralDecision
 RequestForwarder::DecideDeferral(const Placement& aPlacement)
 {
-  const bool readsPrompt = !this->request.incoming.prompt.empty();
-  if (!readsPrompt || this->sends > 0) {
-    return DeferralDecision::eSend; // it has stood back before its first send
+  const bool hasPrompt = !this->request.incoming.prompt.empty();
+  if (!hasPrompt || this->sends > 0) {
+    return DeferralDecision::eSend; // deferred only before its first send
   }
-  const double reading = static_cast<double>(aPlacement.uncachedTokens) /
-                         this->ServicePlacer().Speed().promptTokensPerMs;
+  const double prefillMs = static_cast<double>(aPlacement.uncachedTokens) /
+                           this->ServicePlacer().Speed().promptTokensPerMs;
   return DeferralPolicy::Decide(
     DeferralInput{ ServingState::Now() - this->request.arrived,
                    this->request.route->latencyTarget,
                    this->TimeLeft(),
                    aPlacement.expectedMs,
-                   reading,
+                   prefillMs,
                    aPlacement.queuedTokens == 0 });
 }
 
@@ -170,8 +171,8 @@
   const bool suspect =
     SuspectTable::LevelOf(this->state.facts, this->request.fingerprint) !=
     SuspectLevel::eClear;
-  // A request that was running on an engine as it crashed is left to its
-  // caller: sent on at once it would take the next engine down as well.
+  // A request that was running on an engine when it crashed is left to its
+  // caller: a retry at once could crash the next engine too.
   if (this->mayHaveRun && suspect) {
     return false;
   }
@@ -205,18 +206,18 @@
       }
       break;
     }
-    const bool tooFull = placement->atCapacity && this->sends == 0;
-    if (tooFull) {
+    const bool rejected = placement->atCapacity && this->sends == 0;
+    if (rejected) {
       this->lastFailure = "all back ends are full";
       break;
     }
-    const DeferralDecision advice = this->DecideDeferral(*placement);
-    if (advice == DeferralDecision::eDefer) {
+    const DeferralDecision decision = this->DecideDeferral(*placement);
+    if (decision == DeferralDecision::eDefer) {
       co_await Sleep(DeferralPolicy::kPollInterval);
       this->deferredFor += DeferralPolicy::kPollInterval;
       continue;
     }
-    if (advice == DeferralDecision::eReject) {
+    if (decision == DeferralDecision::eReject) {
       this->lastFailure = "engines have too much to read";
       break;
     }
@@ -224,7 +225,7 @@
       break;
     }
     last = co_await this->SendToBackend(*placement);
-    if (last == SendOutcome::eAnswered) {
+    if (last == SendOutcome::eResponded) {
       co_return;
     }
     if (last == SendOutcome::eCallerDisconnected) {
@@ -236,7 +237,7 @@
     }
     this->triedBackends.insert(placement->backend);
   }
-  co_await this->EndWithoutAnswer(last);
+  co_await this->EndWithoutResponse(last);
 }
 
 SendOutcome
@@ -287,29 +288,31 @@
   this->sentAt = ServingState::Now();
   this->responseStarted = false;
   this->responseFailed = false;
-  SendContext plan;
-  plan.backend = aPlacement.backend;
-  plan.timeLeft = this->TimeLeft();
-  plan.team = this->request.team != nullptr ? this->request.team->id : TeamId{};
-  plan.priority = std::clamp(this->request.Priority() + 1, 0, 9);
-  plan.resumeAfter = this->splitter.LastId();
+  SendContext context;
+  context.backend = aPlacement.backend;
+  context.timeLeft = this->TimeLeft();
+  context.team =
+    this->request.team != nullptr ? this->request.team->id : TeamId{};
+  context.priority = std::clamp(this->request.Priority() + 1, 0, 9);
+  context.resumeAfter = this->splitter.LastId();
   HttpRequest message =
-    this->state.wire.backends.write(this->request.incoming, plan);
+    this->state.wire.backends.write(this->request.incoming, context);
   const CallTimeouts timeouts{ std::min(kConnectTimeout, this->TimeLeft()),
                                this->AttemptTimeout(),
                                this->AttemptTimeout() };
-  BackendLoadGuard current(this->state.backends,
-                           aPlacement.backend,
-                           static_cast<std::int64_t>(aPlacement.uncachedTokens),
-                           this->sentAt);
-  this->loadGuard = &current;
-  const std::string part = SharedSectionId(this->request.incoming.prompt);
+  BackendLoadGuard guard(this->state.backends,
+                         aPlacement.backend,
+                         static_cast<std::int64_t>(aPlacement.uncachedTokens),
+                         this->sentAt);
+  this->loadGuard = &guard;
+  const std::string sharedSection =
+    SharedSectionId(this->request.incoming.prompt);
   this->state.prefixCacheIndex.RecordUse(
-    part, aPlacement.backend, this->sentAt);
+    sharedSection, aPlacement.backend, this->sentAt);
   this->state.sendPromptNotice(
     aPlacement.backend,
     static_cast<std::int64_t>(aPlacement.uncachedTokens),
-    part);
+    sharedSection);
   this->state.promptRates[this->request.service].Add(
     static_cast<double>(aPlacement.uncachedTokens), this->sentAt);
   bool confirmed = true;
@@ -344,9 +347,9 @@
       this->state, aPlacement.backend, this->request.fingerprint));
   }
   this->RecordEvidence(aPlacement.backend, outcome);
-  const bool unreached =
+  const bool notConnected =
     !exchange && confirmed && outcome == SendOutcome::eNotRun;
-  const bool failed = outcome == SendOutcome::eMayHaveRun || unreached;
+  const bool failed = outcome == SendOutcome::eMayHaveRun || notConnected;
   if (failed) {
     this->state.backends.RecordFailure(aPlacement.backend, ServingState::Now());
   }
@@ -358,37 +361,40 @@
 RequestForwarder::RecordEvidence(const InstanceId& aBackend,
                                  SendOutcome aOutcome)
 {
-  const Rollout* move = this->state.rollouts.Find(this->request.service);
+  const Rollout* rollout = this->state.rollouts.Find(this->request.service);
   const Backend* backend = this->state.backends.Find(aBackend);
-  const bool counts = move != nullptr && move->phase == RolloutPhase::eActive &&
+  const bool counts = rollout != nullptr &&
+                      rollout->phase == RolloutPhase::eActive &&
                       backend != nullptr && aOutcome != SendOutcome::eNotRun &&
                       aOutcome != SendOutcome::eCallerDisconnected;
   if (!counts) {
     return;
   }
-  Observation seen;
-  seen.error = aOutcome != SendOutcome::eAnswered || this->responseFailed;
+  Observation observation;
+  observation.error =
+    aOutcome != SendOutcome::eResponded || this->responseFailed;
   if (this->responseStarted) {
-    seen.firstTokenMs =
+    observation.firstTokenMs =
       static_cast<double>((this->responseStartedAt - this->sentAt).count());
   }
   if (this->splitter.ReturnedCount() > 1) {
-    const Millis whole = ServingState::Now() - this->responseStartedAt;
-    seen.meanGapMs = static_cast<double>(whole.count()) /
-                     static_cast<double>(this->splitter.ReturnedCount() - 1);
+    const Millis duration = ServingState::Now() - this->responseStartedAt;
+    observation.meanGapMs =
+      static_cast<double>(duration.count()) /
+      static_cast<double>(this->splitter.ReturnedCount() - 1);
   }
-  this->state.evidence.Observe(move->order.position,
+  this->state.evidence.Observe(rollout->order.position,
                                backend->entry.version,
                                Stratum{ 0, this->request.route->name },
-                               seen);
+                               observation);
 }
 
 Task<void>
-RequestForwarder::EndWithoutAnswer(SendOutcome aLast)
+RequestForwarder::EndWithoutResponse(SendOutcome aLast)
 {
   if (this->responder.Started()) {
-    // The answer has no end mark, so its connection closes and the caller
-    // sees that it is not complete.
+    // The response has no end marker, so its connection closes and the caller
+    // sees that it is incomplete.
     this->LogEnd(kOk, "stream cut: " + this->lastFailure);
     co_return;
   }
@@ -400,8 +406,8 @@
     co_await this->SendRejection(std::move(reason));
     co_return;
   }
-  const bool late = aLast == SendOutcome::eDeadlineExceeded;
-  const unsigned status = late ? kGatewayTimeout : kBadGateway;
+  const bool deadlineExceeded = aLast == SendOutcome::eDeadlineExceeded;
+  const unsigned status = deadlineExceeded ? kGatewayTimeout : kBadGateway;
   std::string reason = this->lastFailure;
   co_await this->SendFailure(status, std::move(reason));
 }
@@ -409,37 +415,39 @@
 Task<void>
 RequestForwarder::SendRejection(std::string aReason)
 {
-  const Millis comeBack = std::max(RetryDelayFor(this->state, this->TimeLeft()),
-                                   this->rateLimitWait.value_or(Millis(0)));
-  HttpResponse reply = MakeLocalResponse(this->state,
-                                         this->request.incoming.attempt,
-                                         kServiceUnavailable,
-                                         aReason,
-                                         comeBack);
-  co_await this->responder.Send(std::move(reply));
+  const Millis retryAfter =
+    std::max(RetryDelayFor(this->state, this->TimeLeft()),
+             this->rateLimitWait.value_or(Millis(0)));
+  HttpResponse response = MakeLocalResponse(this->state,
+                                            this->request.incoming.attempt,
+                                            kServiceUnavailable,
+                                            aReason,
+                                            retryAfter);
+  co_await this->responder.Send(std::move(response));
   this->LogEnd(kServiceUnavailable, aReason);
 }
 
 Task<void>
 RequestForwarder::SendFailure(unsigned aStatus, std::string aReason)
 {
-  HttpResponse reply = MakeLocalResponse(this->state,
-                                         this->request.incoming.attempt,
-                                         aStatus,
-                                         aReason,
-                                         std::nullopt);
-  co_await this->responder.Send(std::move(reply));
+  HttpResponse response = MakeLocalResponse(this->state,
+                                            this->request.incoming.attempt,
+                                            aStatus,
+                                            aReason,
+                                            std::nullopt);
+  co_await this->responder.Send(std::move(response));
   this->LogEnd(aStatus, aReason);
 }
 
 void
 RequestForwarder::LogSend(const Placement& aPlacement,
                           SendOutcome aOutcome,
-                          const std::string& aWhy)
+                          const std::string& aReason)
 {
-  const bool plain = aOutcome == SendOutcome::eAnswered && this->sends == 1;
-  if (plain) {
-    return; // the line of the request's end says it all
+  const bool isRoutine =
+    aOutcome == SendOutcome::eResponded && this->sends == 1;
+  if (isRoutine) {
+    return; // request.ended has it all
   }
   const TimePoint now = ServingState::Now();
   this->state.log.Emit(
@@ -447,7 +455,7 @@
       .With("request", this->request.incoming.attempt)
       .With("backend", aPlacement.backend)
       .With("outcome", NameOf(aOutcome))
-      .With("why", aOutcome == SendOutcome::eAnswered ? "" : aWhy)
+      .With("why", aOutcome == SendOutcome::eResponded ? "" : aReason)
       .With("ms", (now - this->sentAt).count())
       .With("expected_ms", static_cast<std::int64_t>(aPlacement.expectedMs))
       .With("ahead_tokens", aPlacement.queuedTokens)
@@ -458,12 +466,13 @@
 RequestForwarder::LogEnd(unsigned aStatus, const std::string& aReason)
 {
   const TimePoint now = ServingState::Now();
-  const Millis first = this->firstEventAt.ms == 0
-                         ? Millis(0)
-                         : this->firstEventAt - this->request.arrived;
-  const Placement sent = this->lastPlacement.value_or(Placement{});
-  const std::uint64_t prompt = TotalTokens(this->request.incoming.prompt);
-  const std::uint64_t own = UnsharedTokens(this->request.incoming.prompt);
+  const Millis untilFirstEvent = this->firstEventAt.ms == 0
+                                   ? Millis(0)
+                                   : this->firstEventAt - this->request.arrived;
+  const Placement placement = this->lastPlacement.value_or(Placement{});
+  const std::uint64_t promptTokens = TotalTokens(this->request.incoming.prompt);
+  const std::uint64_t unsharedTokens =
+    UnsharedTokens(this->request.incoming.prompt);
   this->state.metrics.Count("toucanshed_requests_total",
                             "status=\"" + std::to_string(aStatus) + "\"");
   this->state.log.Emit(
@@ -474,7 +483,7 @@
             this->request.team != nullptr ? this->request.team->id.value : "")
       .With("tokens", this->request.incoming.promptTokens)
       .With("most_output", this->request.incoming.maxOutputTokens)
-      .With("backend", sent.backend)
+      .With("backend", placement.backend)
       .With("status", aStatus)
       .With("why", aReason)
       .With("sends", this->sends)
@@ -483,13 +492,13 @@
       .With("sent_ms",
             this->sends > 0 ? (this->sentAt - this->request.arrived).count()
                             : -1)
-      .With("first_ms", first.count())
+      .With("first_ms", untilFirstEvent.count())
       .With("target_ms", this->request.route->latencyTarget.count())
-      .With("expected_ms", static_cast<std::int64_t>(sent.expectedMs))
-      .With("ahead_tokens", sent.queuedTokens)
+      .With("expected_ms", static_cast<std::int64_t>(placement.expectedMs))
+      .With("ahead_tokens", placement.queuedTokens)
       .With("shared_part", SharedSectionId(this->request.incoming.prompt))
-      .With("shared_tokens", prompt - own)
-      .With("shared_read", sent.uncachedTokens > own ? 1 : 0)
+      .With("shared_tokens", promptTokens - unsharedTokens)
+      .With("shared_read", placement.uncachedTokens > unsharedTokens ? 1 : 0)
       .With("gap_ms", this->longestGap.count())
       .With("gap_target_ms", this->request.route->eventGapTarget.count())
       .With("ms", (now - this->request.arrived).count())
--- a/src/serve/ResponseRelay.cpp
+++ b/src/serve/ResponseRelay.cpp
@@ -1,5 +1,5 @@
-// The half of RequestRun that relays a back end's answer; RequestRun.cpp holds
-// the choices before and after it.
+// The part of RequestForwarder that relays a back end's response;
+// RequestForwarder.cpp has the decisions before and after it.
 #include "RequestForwarder.h"
 
 #include "BackendLoadGuard.h"
@@ -11,8 +11,8 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kServerError = 500;
-/** Pause within a stream after which it is taken up elsewhere. Engines pause
- * streams themselves when their memory is full, for some hundred ms. */
+/** Pause within a stream after which it is resumed on another back end. Engines
+ * pause streams themselves when their memory is full, for some hundred ms. */
 constexpr Millis kStreamGapTimeout{ 1600 };
 
 } // namespace
@@ -29,7 +29,7 @@
   }
   this->UpdateRateLimit(aPlacement.backend, head);
   if (head.attempt != this->request.incoming.attempt) {
-    // An answer that came late or twice, to somebody else's request.
+    // A late or duplicate response to another request.
     this->lastFailure = "answer of another request";
     co_return SendOutcome::eMayHaveRun;
   }
@@ -55,15 +55,15 @@
   }
   const Backend* backend = this->state.backends.Find(aBackend);
   if (backend == nullptr) {
-    return; // it has gone, and its limit with it
+    return; // the back end is gone, and its limit with it
   }
   EngineLimits& limits = this->state.engineLimits;
-  const bool news = limits.RecordResponse(
+  const bool changed = limits.RecordResponse(
     aBackend, backend->entry.incarnation, aHead.limit, ServingState::Now());
   if (limits.HasUrgentUpdates()) {
     this->state.sendRateLimits();
   }
-  if (!news) {
+  if (!changed) {
     return;
   }
   this->state.log.Emit(
@@ -85,12 +85,12 @@
   this->loadGuard->RecordFirstToken();
   const TimePoint now = ServingState::Now();
   this->responseStartedAt = now;
-  const auto took = static_cast<double>((now - this->sentAt).count());
+  const auto elapsedMs = static_cast<double>((now - this->sentAt).count());
   this->ServicePlacer().RecordResponseStart(
     static_cast<double>(aPlacement.uncachedTokens + aPlacement.queuedTokens),
-    took);
+    elapsedMs);
   this->state.backends.RecordResponseStart(
-    aPlacement.backend, took, aPlacement.expectedMs);
+    aPlacement.backend, elapsedMs, aPlacement.expectedMs);
   this->state.metrics.RecordFirstToken(
     static_cast<double>((now - this->request.arrived).count()));
   if (this->firstEventAt.ms == 0) {
@@ -119,8 +119,8 @@
       break;
     }
     this->splitter.Add(**piece);
-    const bool passed = co_await this->RelayEvents(aExchange, aPlacement);
-    if (!passed) {
+    const bool relayed = co_await this->RelayEvents(aExchange, aPlacement);
+    if (!relayed) {
       co_return SendOutcome::eCallerDisconnected;
     }
     if (this->splitter.Broken()) {
@@ -135,7 +135,7 @@
   co_await this->responder.End();
   this->state.backends.RecordSuccess(aPlacement.backend);
   this->LogEnd(kOk, "streamed");
-  co_return SendOutcome::eAnswered;
+  co_return SendOutcome::eResponded;
 }
 
 Task<bool>
@@ -162,8 +162,8 @@
   if (!this->responder.Started()) {
     HttpResponse head = this->state.wire.backends.forwardHead(
       aExchange.Status(), aExchange.Headers());
-    const bool begun = co_await this->responder.Begin(std::move(head));
-    if (!begun) {
+    const bool started = co_await this->responder.Begin(std::move(head));
+    if (!started) {
       co_return false;
     }
   }
@@ -175,13 +175,13 @@
                                 const Placement& aPlacement)
 {
   if (this->responder.Started()) {
-    // The rest of a stream was asked for and another kind of answer came.
+    // The rest of a stream was requested and a response of another kind came.
     this->lastFailure =
       "no stream: status " + std::to_string(aExchange.Status());
     co_return SendOutcome::eMayHaveRun;
   }
   const unsigned status = aExchange.Status();
-  HttpResponse reply =
+  HttpResponse response =
     this->state.wire.backends.forwardHead(status, aExchange.Headers());
   while (true) {
     auto piece = co_await aExchange.ReadChunk();
@@ -192,28 +192,28 @@
     if (!piece->has_value()) {
       break;
     }
-    reply.body() += **piece;
+    response.body() += **piece;
   }
   this->state.backends.RecordProgress(aPlacement.backend, ServingState::Now());
-  const bool failure = status >= kServerError;
-  this->responseFailed = failure;
-  if (failure) {
+  const bool failed = status >= kServerError;
+  this->responseFailed = failed;
+  if (failed) {
     this->state.backends.RecordFailure(aPlacement.backend, ServingState::Now());
   } else {
     this->state.backends.RecordSuccess(aPlacement.backend);
   }
   this->RecordResponseStart(aPlacement);
-  const bool again =
-    failure && IsRetrySafe(this->request.route->kind) &&
+  const bool retry =
+    failed && IsRetrySafe(this->request.route->kind) &&
     this->possibleRuns + 1 < this->request.route->maxBackends &&
     this->TimeLeft() > this->request.route->latencyTarget / 2;
-  if (again) {
+  if (retry) {
     this->lastFailure = "back end failed with " + std::to_string(status);
     co_return SendOutcome::eMayHaveRun;
   }
-  co_await this->responder.Send(std::move(reply));
+  co_await this->responder.Send(std::move(response));
   this->LogEnd(status, "answered");
-  co_return SendOutcome::eAnswered;
+  co_return SendOutcome::eResponded;
 }
 
 } // namespace toucanshed
--- a/src/serve/RolloutMonitor.cpp
+++ b/src/serve/RolloutMonitor.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-/** A bad version must be off traffic within seconds; the evidence changes with
- * the other daemons' words, several times a second. */
+/** A bad version must be off traffic within seconds. The evidence changes with
+ * the other daemons' messages, several times a second. */
 constexpr Millis kPollInterval{ 200 };
-/** Facts about a move outlive its order's deadline by far. */
-constexpr Millis kRemembered{ 10 * 60 * 1000 };
+/** Lifetime of facts about a rollout, far beyond its order's deadline. */
+constexpr Millis kFactLifetime{ 10 * 60 * 1000 };
 constexpr Millis kRetryInterval{ 500 };
 
 std::string
-RolloutFactKey(const RolloutOrder& aOrder, RolloutPhase aStage)
+RolloutFactKey(const RolloutOrder& aOrder, RolloutPhase aPhase)
 {
   const char* kind =
-    aStage == RolloutPhase::eCompleted ? "move-completed/" : "move-taken-back/";
+    aPhase == RolloutPhase::eCompleted ? "move-completed/" : "move-taken-back/";
   return kind + aOrder.service.value + "/" +
          std::to_string(aOrder.position.value);
 }
 
-/** Applies what the statuses in the store say of orders that still stand. */
+/** Applies the statuses in the store to orders that are still in force. */
 Task<void>
 ReadEndedRollouts(ServingState& aState)
 {
@@ -49,75 +49,78 @@
 }
 
 void
-ApplyRolloutFacts(ServingState& aState, const Rollout& aMove)
+ApplyRolloutFacts(ServingState& aState, const Rollout& aRollout)
 {
-  for (const RolloutPhase stage :
+  for (const RolloutPhase phase :
        { RolloutPhase::eRolledBack, RolloutPhase::eCompleted }) {
-    if (aState.facts.Contains(RolloutFactKey(aMove.order, stage))) {
-      aState.rollouts.End(aMove.order.service, aMove.order.position, stage);
+    if (aState.facts.Contains(RolloutFactKey(aRollout.order, phase))) {
+      aState.rollouts.End(
+        aRollout.order.service, aRollout.order.position, phase);
     }
   }
 }
 
-/** What the engines of both versions could bear once the move has ended. */
+/** Whether the engines of both versions can serve the demand once the rollout
+ * has ended. */
 RolloutReadiness
-OutlookOf(ServingState& aState,
-          const Rollout& aMove,
-          const VersionVerdict& aFinding)
+ReadinessOf(ServingState& aState,
+            const Rollout& aRollout,
+            const VersionVerdict& aVerdict)
 {
-  RolloutReadiness outlook;
-  outlook.doubtful = aFinding.doubtful;
+  RolloutReadiness readiness;
+  readiness.doubtful = aVerdict.doubtful;
   for (const auto& [id, backend] : aState.backends.All()) {
     const bool counts =
-      backend.entry.service == aMove.order.service && !backend.leaving;
+      backend.entry.service == aRollout.order.service && !backend.leaving;
     if (counts) {
-      const bool fresh = backend.entry.version == aMove.order.target;
-      ++(fresh ? outlook.newEngines : outlook.oldEngines);
+      const bool isNew = backend.entry.version == aRollout.order.target;
+      ++(isNew ? readiness.newEngines : readiness.oldEngines);
     }
   }
-  const ServiceSpec* service = aState.catalog->FindService(aMove.order.service);
+  const ServiceSpec* service =
+    aState.catalog->FindService(aRollout.order.service);
   if (service != nullptr) {
     const TimePoint now = ServingState::Now();
-    const RequiredEngines need = RequiredEnginesNow(aState, *service, now);
-    // Requests that pile up where engines are missing need no more of them than
-    // serve now.
-    const double places = std::min(need.forSlots, outlook.oldEngines);
-    outlook.requiredEngines =
-      ScalePlanner::kSufficientShare * std::max(need.forPrefill, places);
+    const RequiredEngines required = RequiredEnginesNow(aState, *service, now);
+    // Requests that queue up because engines are missing do not require more
+    // engines than serve now.
+    const double forSlots = std::min(required.forSlots, readiness.oldEngines);
+    readiness.requiredEngines =
+      ScalePlanner::kSufficientShare * std::max(required.forPrefill, forSlots);
   }
-  return outlook;
+  return readiness;
 }
 
 } // namespace
 
 VersionVerdict
-EvaluateRollout(const ServingState& aState, const Rollout& aMove)
+EvaluateRollout(const ServingState& aState, const Rollout& aRollout)
 {
-  StratumTallies old;
+  StratumTallies oldTallies;
   for (const auto& [id, backend] : aState.backends.All()) {
     const VersionId& version = backend.entry.version;
-    const bool isOld = backend.entry.service == aMove.order.service &&
-                       version != aMove.order.target;
+    const bool isOld = backend.entry.service == aRollout.order.service &&
+                       version != aRollout.order.target;
     if (isOld) {
-      old = aState.evidence.Sum(aMove.order.position, version);
-      break; // one old version: an order moves a service from one to another
+      oldTallies = aState.evidence.Sum(aRollout.order.position, version);
+      break; // one old version: an order replaces one by another
     }
   }
-  const StratumTallies fresh =
-    aState.evidence.Sum(aMove.order.position, aMove.order.target);
-  return CompareVersions(old, fresh, VersionComparisonLimits{});
+  const StratumTallies newTallies =
+    aState.evidence.Sum(aRollout.order.position, aRollout.order.target);
+  return CompareVersions(oldTallies, newTallies, VersionComparisonLimits{});
 }
 
 void
 EndRollout(ServingState& aState,
            const RolloutOrder& aOrder,
-           RolloutPhase aStage)
+           RolloutPhase aPhase)
 {
   const TimePoint now = ServingState::Now();
-  aState.rollouts.End(aOrder.service, aOrder.position, aStage);
+  aState.rollouts.End(aOrder.service, aOrder.position, aPhase);
   FactEntry fact;
-  fact.key = RolloutFactKey(aOrder, aStage);
-  fact.expires = now + kRemembered;
+  fact.key = RolloutFactKey(aOrder, aPhase);
+  fact.expires = now + kFactLifetime;
   aState.facts.Add(std::move(fact), now);
 }
 
@@ -127,25 +130,26 @@
   while (!aState.Ready()) {
     co_await Sleep(kPollInterval);
   }
-  // Only an order that was there before this daemon may have ended before.
+  // Only an order that existed before this daemon started may have ended
+  // already.
   if (!aState.rollouts.Active().empty()) {
     co_await ReadEndedRollouts(aState);
   }
   while (true) {
     co_await Sleep(kPollInterval);
-    for (const Rollout& move : aState.rollouts.Active()) {
-      ApplyRolloutFacts(aState, move);
-      const VersionVerdict finding = EvaluateRollout(aState, move);
-      aState.rollouts.SetReadiness(move.order.service,
-                                   OutlookOf(aState, move, finding),
+    for (const Rollout& rollout : aState.rollouts.Active()) {
+      ApplyRolloutFacts(aState, rollout);
+      const VersionVerdict verdict = EvaluateRollout(aState, rollout);
+      aState.rollouts.SetReadiness(rollout.order.service,
+                                   ReadinessOf(aState, rollout, verdict),
                                    ServingState::Now());
-      if (finding.bad) {
+      if (verdict.bad) {
         aState.log.Emit(Event("move.taken_back")
-                          .With("service", move.order.service)
-                          .With("target", move.order.target)
-                          .With("seen", finding.requests)
-                          .With("why", finding.reason));
-        EndRollout(aState, move.order, RolloutPhase::eRolledBack);
+                          .With("service", rollout.order.service)
+                          .With("target", rollout.order.target)
+                          .With("seen", verdict.requests)
+                          .With("why", verdict.reason));
+        EndRollout(aState, rollout.order, RolloutPhase::eRolledBack);
       }
     }
   }
--- a/src/serve/RolloutMonitor.h
+++ b/src/serve/RolloutMonitor.h
@@ -1,6 +1,6 @@
 /** \file
- * Judges running moves on the evidence of all daemons, takes bad versions back
- * at once, and learns how earlier moves ended.
+ * Evaluates active rollouts on the evidence of all daemons, rolls bad versions
+ * back at once, and receives how earlier rollouts ended.
  */
 #pragma once
 
@@ -11,19 +11,19 @@
 
 struct ServingState;
 
-/** What the evidence of all daemons says of a move's new version. */
+/** Evaluates the evidence of all daemons about a rollout's new version. */
 VersionVerdict
-EvaluateRollout(const ServingState& aState, const Rollout& aMove);
+EvaluateRollout(const ServingState& aState, const Rollout& aRollout);
 
-/** A move has ended: this daemon acts on it, and tells the others. */
+/** Ends a rollout at this daemon and reports that to the others. */
 void
 EndRollout(ServingState& aState,
            const RolloutOrder& aOrder,
-           RolloutPhase aStage);
+           RolloutPhase aPhase);
 
-/** Takes a bad version back here the moment the evidence shows it, without
- * waiting for the holder's record; follows what others say of moves. Runs for
- * as long as the daemon does. */
+/** Rolls a bad version back at this daemon as soon as the evidence shows it,
+ * without waiting for the duty holder's record, and applies what other daemons
+ * report of rollouts. Runs for as long as the daemon does. */
 Task<void>
 MonitorRollouts(ServingState& aState);
 
--- a/src/serve/ServingDaemon.cpp
+++ b/src/serve/ServingDaemon.cpp
@@ -19,12 +19,13 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kServiceUnavailable = 503;
-/** Between two batches of log lines; what a killed process loses of its log. */
+/** Interval between two batches of log lines; a killed process loses the lines
+ * of one interval. */
 constexpr Millis kHousekeepingInterval{ 100 };
-/** The balancer asks every second and takes a daemon out after two misses;
- * until then it still sends new connections. */
+/** The balancer probes every second and removes a daemon after two missed
+ * probes; until then it still sends new connections. */
 constexpr Millis kBalancerRemovalDelay{ 2800 };
-/** Kept of the grace time for the exit itself. */
+/** Part of the grace period that is left for the exit itself. */
 constexpr Millis kExitReserve{ 700 };
 constexpr Millis kStopPollInterval{ 50 };
 
@@ -41,20 +42,21 @@
   , logWriter(aLogWriter)
   , peers(state)
   , duties(state)
-  , callers(state.pool,
-            HttpLimits{},
-            [this](Worker&, const HttpRequest& aRequest, HttpResponder& aTo) {
-              return HandleCallerRequest(this->state, aRequest, aTo);
-            })
+  , callers(
+      state.pool,
+      HttpLimits{},
+      [this](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
+        return HandleCallerRequest(this->state, aRequest, aResponder);
+      })
   , readiness(state.pool,
               HttpLimits{},
-              [this](Worker&, const HttpRequest&, HttpResponder& aTo) {
-                return this->AnswerReadiness(aTo);
+              [this](Worker&, const HttpRequest&, HttpResponder& aResponder) {
+                return this->SendReadiness(aResponder);
               })
   , metrics(state.pool,
             HttpLimits{},
-            [this](Worker&, const HttpRequest&, HttpResponder& aTo) {
-              return this->AnswerMetrics(aTo);
+            [this](Worker&, const HttpRequest&, HttpResponder& aResponder) {
+              return this->SendMetrics(aResponder);
             })
   , stopSignals(state.pool.First().context, SIGTERM, SIGINT)
   , reloadSignals(state.pool.First().context, SIGHUP)
@@ -65,11 +67,12 @@
 ServingDaemon::Start()
 {
   const ServingSettings& settings = this->state.settings;
-  const Endpoint metricsAt(settings.callers.address(), settings.metricsPort);
+  const Endpoint metricsEndpoint(settings.callers.address(),
+                                 settings.metricsPort);
   const std::array<std::pair<HttpServer*, Endpoint>, 3> servers = {
     { { &this->callers, settings.callers },
       { &this->readiness, settings.readiness },
-      { &this->metrics, metricsAt } }
+      { &this->metrics, metricsEndpoint } }
   };
   for (const auto& [server, endpoint] : servers) {
     auto listening = server->Listen(endpoint);
@@ -77,9 +80,9 @@
       return listening;
     }
   }
-  auto linked = this->peers.Start();
-  if (!linked) {
-    return linked;
+  auto started = this->peers.Start();
+  if (!started) {
+    return started;
   }
   Worker& worker = this->state.pool.First();
   worker.Spawn(WatchOperatorTopic(this->state));
@@ -108,31 +111,31 @@
 }
 
 Task<void>
-ServingDaemon::AnswerReadiness(HttpResponder& aResponder)
+ServingDaemon::SendReadiness(HttpResponder& aResponder)
 {
   const bool ready = this->state.Ready();
-  HttpResponse reply = MakeResponse(ready ? kOk : kServiceUnavailable, "");
-  co_await aResponder.Send(std::move(reply));
+  HttpResponse response = MakeResponse(ready ? kOk : kServiceUnavailable, "");
+  co_await aResponder.Send(std::move(response));
 }
 
 Task<void>
-ServingDaemon::AnswerMetrics(HttpResponder& aResponder)
+ServingDaemon::SendMetrics(HttpResponder& aResponder)
 {
-  HttpResponse reply = MakeResponse(
+  HttpResponse response = MakeResponse(
     kOk, this->state.metrics.ToPrometheusText(), "text/plain; version=0.0.4");
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
 Task<void>
 ServingDaemon::Housekeeping()
 {
-  std::uint64_t applied = 0;
+  std::uint64_t appliedVersion = 0;
   while (true) {
     co_await Sleep(kHousekeepingInterval);
     this->logWriter.Flush();
     const auto& catalog = this->state.catalog;
-    if (catalog != nullptr && catalog->version != applied) {
-      applied = catalog->version;
+    if (catalog != nullptr && catalog->version != appliedVersion) {
+      appliedVersion = catalog->version;
       HttpLimits limits;
       limits.maxHeaderBytes = catalog->requestLimits.maxHeaderBytes;
       limits.maxBodyBytes = catalog->requestLimits.maxBodyBytes;
@@ -157,22 +160,23 @@
 Task<void>
 ServingDaemon::StopGracefully()
 {
-  const TimePoint began = ServingState::Now();
-  const TimePoint end =
-    began + (this->state.settings.bounds.grace - kExitReserve);
+  const TimePoint startedAt = ServingState::Now();
+  const TimePoint deadline =
+    startedAt + (this->state.settings.bounds.grace - kExitReserve);
   this->state.stopping = true;
   this->callers.AnnounceClose();
-  const TimePoint unnoticed = began + kBalancerRemovalDelay;
-  while (ServingState::Now() < std::min(unnoticed, end)) {
+  const TimePoint removedAt = startedAt + kBalancerRemovalDelay;
+  while (ServingState::Now() < std::min(removedAt, deadline)) {
     co_await Sleep(kStopPollInterval);
   }
   this->callers.Close();
-  while (this->state.inProgress > 0 && ServingState::Now() < end) {
+  while (this->state.inProgress > 0 && ServingState::Now() < deadline) {
     co_await Sleep(kStopPollInterval);
   }
-  this->state.log.Emit(Event("daemon.stopped")
-                         .With("in_progress", this->state.inProgress)
-                         .With("ms", (ServingState::Now() - began).count()));
+  this->state.log.Emit(
+    Event("daemon.stopped")
+      .With("in_progress", this->state.inProgress)
+      .With("ms", (ServingState::Now() - startedAt).count()));
   this->state.pool.Stop();
 }
 
@@ -190,7 +194,7 @@
           .With("reason", FormatValidationErrors(read.error())));
       continue;
     }
-    // Ports and names stay those of the start; the bounds may change.
+    // Ports and names stay as they were at the start; the bounds may change.
     this->state.settings.bounds = read->bounds;
     this->state.log.Emit(Event("settings.reloaded"));
   }
--- a/src/serve/ServingDaemon.h
+++ b/src/serve/ServingDaemon.h
@@ -1,5 +1,5 @@
 /** \file
- * Puts the daemon that serves on the platform together, runs it and stops it.
+ * Assembles the platform's serving daemon, runs it and stops it.
  */
 #pragma once
 
@@ -16,11 +16,11 @@
 
 class LogWriter;
 
-/** Thread safety: Start and Run once, from the main thread. */
+/** call Start and Run once, from the main thread. */
 class ServingDaemon
 {
 public:
-  /** Reads the settings again, when told that they have changed. */
+  /** Rereads the settings, when a signal reports that they have changed. */
   using ReadSettings = std::function<
     tl::expected<ServingSettings, std::vector<ValidationError>>()>;
 
@@ -31,17 +31,18 @@
 
   /** Opens the ports. */
   Result<void> Start();
-  /** Serves until a signal has asked for a stop and the stop is done. */
+  /** Serves until a signal has requested a stop and the stop is complete. */
   void Run();
 
 private:
   Task<void> StopOnSignal();
   Task<void> ReloadOnSignal();
   Task<void> StopGracefully();
-  /** Writes the log in batches and applies the callers' bounds in force. */
+  /** Writes the log in batches and applies the current limits of callers'
+   * requests. */
   Task<void> Housekeeping();
-  Task<void> AnswerReadiness(HttpResponder& aResponder);
-  Task<void> AnswerMetrics(HttpResponder& aResponder);
+  Task<void> SendReadiness(HttpResponder& aResponder);
+  Task<void> SendMetrics(HttpResponder& aResponder);
 
   ServingState state;
   ReadSettings readSettings;
--- a/src/serve/ServingRequest.h
+++ b/src/serve/ServingRequest.h
@@ -1,6 +1,6 @@
 /** \file
- * One caller's request on its way through admission, placement and attempts,
- * whatever protocol it came by.
+ * One caller's request, as admission, placement and attempts handle it,
+ * whatever its protocol.
  */
 #pragma once
 
@@ -16,28 +16,28 @@
 
 namespace toucanshed {
 
-/** What a caller's protocol says about a request. */
+/** What a caller's protocol states about a request. */
 struct IncomingRequest
 {
   AttemptId attempt;
   std::string host;
-  std::string target;                  // path and query as sent
-  std::string key;                     // the caller's, empty when it sent none
+  std::string target; // path and query as sent
+  std::string key;    // the caller's key, empty when it sent none
   std::optional<Millis> callerTimeout; // how long the caller waits
   std::vector<PromptSection> prompt;
   std::uint64_t promptTokens = 0;
   std::uint64_t maxOutputTokens = 0;
   bool hasTokenCounts = false;
   std::optional<std::uint64_t> resumeAfter; // last event the caller has
-  /** Head and body as received, to be passed on. */
+  /** Head and body as received, for forwarding. */
   const HttpRequest* message = nullptr;
 };
 
-/** A request that was admitted. */
+/** An admitted request. */
 struct ServingRequest
 {
   IncomingRequest incoming;
-  std::shared_ptr<const Catalog> catalog; // the one version it is served by
+  std::shared_ptr<const Catalog> catalog; // the one version that applies to it
   const Route* route = nullptr;           // of catalog
   const Team* team = nullptr;             // of catalog; null on open routes
   ServiceId service;
@@ -45,7 +45,8 @@
   TimePoint deadline; // the caller's or the route's, whichever is first
   Fingerprint fingerprint;
 
-  /** 0 goes first. A team's urgency goes before its route's. */
+  /** Priority, 0 being the most urgent. A team's priority overrides its
+   * route's. */
   [[nodiscard]] int Priority() const
   {
     return this->team != nullptr && this->team->priority
--- a/src/serve/ServingSettings.h
+++ b/src/serve/ServingSettings.h
@@ -1,5 +1,5 @@
 /** \file
- * What a daemon that serves on the platform is told at its start.
+ * Settings of a daemon that serves on the platform, read at its start.
  */
 #pragma once
 
@@ -12,22 +12,22 @@
 
 namespace toucanshed {
 
-/** Times and limits that the platform holds the system to. The defaults are
- * used where a deployment does not state a limit. */
+/** Times and limits that the platform requires of the system. The defaults
+ * apply where a deployment does not state a limit. */
 struct ServingBounds
 {
   Millis drainDelay{ 2000 };         // from a leaving entry to the last send
-  Millis configurationDelay{ 2000 }; // from a change to its being in force
-  Millis grace{ 8000 };              // from the stop signal to the kill
-  Millis lease{ 3000 };    // holders of a duty do not return within this
+  Millis configurationDelay{ 2000 }; // from a change until it is in force
+  Millis grace{ 8000 };    // from the stop signal until the process is killed
+  Millis lease{ 3000 };    // no duty goes back to a holder within this
   double retryRatio = 0.1; // retries per request, all daemons together
   Millis retryWindow{ 10000 };
   double retrySlack = 10; // retries in a window beyond the ratio
   Millis quotaWindow{ 8000 };
   double quotaOvershoot = 0.1;
-  double quotaSlack = 0; // in the limits' units, beyond the overshoot
+  double quotaSlack = 0; // in the limits' units, on top of the overshoot
   Millis usageWindow{ 5000 };
-  Millis usageDeadline{ 10000 }; // from a window's end to its report
+  Millis usageDeadline{ 10000 }; // from a window's end until its report
   double exposureShare = 0.1;
 };
 
--- a/src/serve/ServingState.cpp
+++ b/src/serve/ServingState.cpp
@@ -12,10 +12,10 @@
 
 ServingState::ServingState(ServingSettings aSettings,
                            WireFormats aWire,
-                           std::uint64_t aLife)
+                           std::uint64_t aIncarnation)
   : settings(std::move(aSettings))
   , wire(std::move(aWire))
-  , incarnation(aLife)
+  , incarnation(aIncarnation)
   , startedAt(Now())
   , log(settings.id.value, [] { return TimePoint{ WallMs() }; })
   , retries(RetryAllowance{ settings.bounds.retryRatio,
@@ -27,12 +27,12 @@
   , quotaExchange(settings.id)
   , usage(settings.bounds.usageWindow)
   , rollouts(ExposureLimits{ settings.bounds.exposureShare })
-  , evidence(settings.id.value + "/" + std::to_string(aLife))
+  , evidence(settings.id.value + "/" + std::to_string(aIncarnation))
   , peers(settings.id)
   , limitShares(settings.id, startedAt)
   , engineLimits(limitShares)
   , storeOutage(settings.entryInterval)
-  , random(Hash64(settings.id.value, aLife))
+  , random(Hash64(settings.id.value, aIncarnation))
 {
 }
 
@@ -77,53 +77,55 @@
 ServingState::StoreReaderRank() const
 {
   const TimePoint now = Now();
-  const bool reaches = !this->stopping && !this->storeLostSince;
-  // When hundreds start together, each would read for all until it has heard
-  // the others; those that are listed will speak before long.
+  const bool canRead = !this->stopping && !this->storeLostSince;
+  // When hundreds start together, each would read for all until it has received
+  // the others' heartbeats. Listed peers without a heartbeat yet therefore
+  // count as ahead during the start: theirs will arrive soon.
   const bool starting = now - this->startedAt < this->peers.PeerTimeout();
-  const auto place = ReaderRank(this->settings.id,
-                                reaches,
-                                this->peers.LiveHeartbeats(now),
-                                starting ? this->peers.PeersWithoutHeartbeat()
-                                         : std::vector<DaemonId>{});
-  return place && *place < kStoreReaders ? place : std::nullopt;
+  const auto rank = ReaderRank(this->settings.id,
+                               canRead,
+                               this->peers.LiveHeartbeats(now),
+                               starting ? this->peers.PeersWithoutHeartbeat()
+                                        : std::vector<DaemonId>{});
+  return rank && *rank < kStoreReaders ? rank : std::nullopt;
 }
 
 void
 ServingState::UpdateQuotas(TimePoint aNow)
 {
-  const Millis silent = this->peers.PeerTimeout();
-  const double part =
-    this->quotaExchange.ReachableShare(aNow, silent, !this->storeLostSince);
-  this->quotas.SetReachableShare(part, aNow);
-  const Millis usual = PeerMessenger::MeanInterval(this->DaemonCount());
+  const Millis peerTimeout = this->peers.PeerTimeout();
+  const double share = this->quotaExchange.ReachableShare(
+    aNow, peerTimeout, !this->storeLostSince);
+  this->quotas.SetReachableShare(share, aNow);
+  const Millis meanInterval = PeerMessenger::MeanInterval(this->DaemonCount());
   this->quotas.SetReportInterval(
-    this->quotaExchange.ReportInterval(aNow, silent, usual), aNow);
-  this->LogLimitShare(part);
+    this->quotaExchange.ReportInterval(aNow, peerTimeout, meanInterval), aNow);
+  this->LogLimitShare(share);
   for (const TeamId& team : this->quotas.UnsyncedTeams(aNow)) {
     if (const auto level = this->quotaExchange.ReportedLevel(team, aNow)) {
       this->quotas.SyncLevel(team, *level, aNow);
     }
   }
-  for (const auto& [team, taken] :
-       this->quotaExchange.TakeRemoteUsage(aNow, silent)) {
-    this->quotas.AddRemoteUsage(team, taken, aNow);
+  for (const auto& [team, used] :
+       this->quotaExchange.TakeRemoteUsage(aNow, peerTimeout)) {
+    this->quotas.AddRemoteUsage(team, used, aNow);
   }
 }
 
 void
-ServingState::LogLimitShare(double aPart)
+ServingState::LogLimitShare(double aShare)
 {
-  constexpr double kWorthTelling = 0.1;
+  constexpr double kMinLoggedChange = 0.1;
   constexpr double kPercent = 100;
-  if (std::abs(aPart - this->loggedLimitShare) < kWorthTelling) {
+  if (std::abs(aShare - this->loggedLimitShare) < kMinLoggedChange) {
     return;
   }
-  this->loggedLimitShare = aPart;
-  this->log.Emit(Event("limits.part")
-                   .With("percent", static_cast<std::int64_t>(aPart * kPercent))
-                   .With("daemons", this->DaemonCount())
-                   .With("store_reached", this->storeLostSince ? 0 : 1));
+  this->loggedLimitShare = aShare;
+  this->log.Emit(
+    Event("limits.part")
+      .With("percent", static_cast<std::int64_t>(aShare * kPercent))
+      .With("daemons", this->DaemonCount())
+      .With("store_reached", this->storeLostSince ? 0 : 1));
 }
 
 std::size_t
--- a/src/serve/ServingState.h
+++ b/src/serve/ServingState.h
@@ -1,5 +1,5 @@
 /** \file
- * What the parts of a serving daemon share.
+ * State that the components of a serving daemon share.
  */
 #pragma once
 
@@ -44,37 +44,37 @@
 {
   ServingState(ServingSettings aSettings,
                WireFormats aWire,
-               std::uint64_t aLife);
+               std::uint64_t aIncarnation);
 
-  /** The steady clock, which jumps of the time of day do not touch. */
+  /** The steady clock, which changes of the wall clock do not affect. */
   [[nodiscard]] static TimePoint Now();
-  /** A clock that also goes on while the machine is suspended. */
+  /** A clock that keeps running while the machine is suspended. */
   [[nodiscard]] static TimePoint BootTime();
-  /** This machine's time of day, in milliseconds. */
+  /** This machine's wall clock, in milliseconds. */
   [[nodiscard]] static std::int64_t WallMs();
-  /** True time by the middle one of all daemons' clocks. */
+  /** Cluster time, the median of all daemons' clocks, in milliseconds. */
   [[nodiscard]] std::int64_t ClusterTimeMs() const;
   /** Whether requests can be served: the configuration and the back ends have
    * been read, and the daemon has not been asked to stop. */
   [[nodiscard]] bool Ready() const;
-  /** Daemons that serve now, this one with them. */
+  /** Number of daemons that serve now, including this one. */
   [[nodiscard]] std::size_t DaemonCount() const;
-  /** Which of those that read the store for the others this daemon is, the
-   * first being 0; nothing when it does not read for them. */
+  /** This daemon's rank among the store readers, which read the store for all
+   * daemons; the first has rank 0. Nothing when it is not a reader. */
   [[nodiscard]] std::optional<std::size_t> StoreReaderRank() const;
   [[nodiscard]] bool IsStoreReader() const
   {
     return this->StoreReaderRank().has_value();
   }
-  /** Brings the teams' limits up to date with what the other daemons have said
-   * of them. */
+  /** Updates the teams' quotas with what the other daemons have reported about
+   * them. */
   void UpdateQuotas(TimePoint aNow);
 
   ServingSettings settings;
   WireFormats wire;
-  std::uint64_t
-    incarnation;       // start of this process; tells its words from older ones
-  TimePoint startedAt; // by the steady clock
+  std::uint64_t incarnation; // start of this process; distinguishes its
+                             // messages from earlier ones
+  TimePoint startedAt;       // by the steady clock
   EventLog log;
   Metrics metrics;
   WorkerPool pool{ 1 };
@@ -85,44 +85,47 @@
   ListRevisions listRevisions;
   TopicFreshness listFreshness;
   TopicFreshness operatorFreshness;
-  Position operatorEnd; // of the operators' topic, as read here
+  Position operatorEnd; // end of the operators' topic, as read here
   std::map<ServiceId, Placer> placers;
   PrefixCacheIndex prefixCacheIndex;
   WindowedRetryBudget retries;
   TeamQuotas quotas;
   QuotaExchange quotaExchange;
   UsageWindows usage;
-  std::map<ServiceId, RateMeter> promptRates; // tokens sent to be read
+  std::map<ServiceId, RateMeter> promptRates; // prompt tokens sent for prefill
   FactSet facts;
   Rollouts rollouts;
   EvidenceTable evidence;
   PeerTable peers;
   LimitShares limitShares;
   EngineLimits engineLimits;
-  Position dutyFence;  // of the duty this daemon holds; 0: none
-  Position dutyLogEnd; // where the duties' records end, as far as read here
-  std::optional<TimePoint> storeLostSince; // since when it is not reached
+  Position dutyFence; // of the duties if this daemon holds them; 0: it does not
+  Position dutyLogEnd; // end of the duty records, as read here
+  std::optional<TimePoint> storeLostSince; // set while it is unreachable
   StoreOutage storeOutage;
-  /** Tells the other daemons of a prompt that was just sent, with the tokens to
-   * be read and the part that other requests may share. */
-  std::function<
-    void(const InstanceId&, std::int64_t aTokens, const std::string& aPart)>
+  /** Notifies the other daemons of a prompt that was just sent: the tokens to
+   * prefill and the section that other requests may share. */
+  std::function<void(const InstanceId&,
+                     std::int64_t aTokens,
+                     const std::string& aSharedSection)>
     sendPromptNotice =
       [](const InstanceId&, std::int64_t, const std::string&) {};
-  /** Tells the other daemons at once what was let through for a team. */
+  /** Sends a team's quota report to the other daemons at once. */
   std::function<void(const TeamId&)> sendQuota = [](const TeamId&) {};
-  /** Tells the other daemons soon of limits that they must know. */
+  /** Schedules a report of engines' rate limits that the other daemons must
+   * receive soon. */
   std::function<void()> sendRateLimits = [] {};
-  /** Tells the other daemons what was just read in the store. */
+  /** Reports to the other daemons what was just read from the store. */
   std::function<void(const serving::StoreReadReport&)> sendStoreRead =
     [](const serving::StoreReadReport&) {};
-  Random random; // for what must not happen at all daemons alike
+  Random random; // for what must differ between daemons
   bool stopping = false;
-  std::size_t inProgress = 0; // callers' requests
+  std::size_t inProgress = 0; // callers' requests in progress
 
 private:
-  /** Part of the limits that this daemon gives out, when it has changed. */
-  void LogLimitShare(double aPart);
+  /** Logs the share of the limits that this daemon applies, when it has
+   * changed. */
+  void LogLimitShare(double aShare);
 
   double loggedLimitShare = 1;
 };
--- a/src/serve/StoreClient.cpp
+++ b/src/serve/StoreClient.cpp
@@ -7,45 +7,45 @@
 
 namespace {
 
-/** As long as a machine in the same region may take to accept. */
+/** As long as a machine in the same region may take to accept a connection. */
 constexpr Millis kConnectTimeout{ 600 };
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kTooManyRequests = 429;
 
 std::string
-FormatLabels(const StoreCallLabels& aPurpose)
+FormatLabels(const StoreCallLabels& aLabels)
 {
-  return std::string("call=\"") + aPurpose.call + "\",topic=\"" +
-         NameOf(aPurpose.topic) + "\"";
+  return std::string("call=\"") + aLabels.call + "\",topic=\"" +
+         NameOf(aLabels.topic) + "\"";
 }
 
 void
-RecordStoreReached(ServingState& aState, TimePoint aCalled)
+RecordStoreReached(ServingState& aState, TimePoint aCalledAt)
 {
-  aState.storeOutage.RecordSuccess(aCalled);
+  aState.storeOutage.RecordSuccess(aCalledAt);
   if (!aState.storeLostSince) {
     return;
   }
-  const Millis away = ServingState::Now() - *aState.storeLostSince;
+  const Millis outage = ServingState::Now() - *aState.storeLostSince;
   aState.storeLostSince.reset();
   aState.log.Emit(Event("dependency.regained")
                     .With("name", "store")
-                    .With("ms", away.count()));
+                    .With("ms", outage.count()));
 }
 
 void
 RecordStoreFailure(ServingState& aState,
-                   TimePoint aCalled,
-                   const std::string& aWhy)
+                   TimePoint aCalledAt,
+                   const std::string& aReason)
 {
-  aState.storeOutage.RecordFailure(aCalled);
+  aState.storeOutage.RecordFailure(aCalledAt);
   aState.metrics.Count("toucanshed_store_failures_total");
   if (aState.storeLostSince) {
     return;
   }
   aState.storeLostSince = ServingState::Now();
   aState.log.Emit(
-    Event("dependency.lost").With("name", "store").With("reason", aWhy));
+    Event("dependency.lost").With("name", "store").With("reason", aReason));
 }
 
 } // namespace
@@ -70,74 +70,74 @@
 
 Task<Result<HttpResponse>>
 CallStore(ServingState& aState,
-          StoreCallLabels aPurpose,
+          StoreCallLabels aLabels,
           HttpRequest aRequest,
           Millis aWait)
 {
   const CallTimeouts timeouts{ kConnectTimeout,
                                kStoreCallTimeout + aWait,
                                kStoreCallTimeout };
-  aState.metrics.Count("toucanshed_store_calls_total", FormatLabels(aPurpose));
-  const TimePoint called = ServingState::Now();
-  auto reply = co_await Fetch(
+  aState.metrics.Count("toucanshed_store_calls_total", FormatLabels(aLabels));
+  const TimePoint calledAt = ServingState::Now();
+  auto response = co_await Fetch(
     aState.pool.First(), *aState.settings.store, std::move(aRequest), timeouts);
-  if (!reply) {
-    RecordStoreFailure(aState, called, reply.error().message);
-    co_return Fail(reply.error().code, reply.error().message);
+  if (!response) {
+    RecordStoreFailure(aState, calledAt, response.error().message);
+    co_return Fail(response.error().code, response.error().message);
   }
-  const unsigned status = reply->result_int();
+  const unsigned status = response->result_int();
   if (status == kServiceUnavailable || status == kTooManyRequests) {
-    RecordStoreFailure(aState, called, "status " + std::to_string(status));
+    RecordStoreFailure(aState, calledAt, "status " + std::to_string(status));
   } else {
-    RecordStoreReached(aState, called);
+    RecordStoreReached(aState, calledAt);
   }
-  co_return std::move(*reply);
+  co_return std::move(*response);
 }
 
 Task<Result<Position>>
 AppendToStore(ServingState& aState,
               StoreTopic aTopic,
               std::string aRecord,
-              std::optional<Position> aAt)
+              std::optional<Position> aExpectedEnd)
 {
-  HttpRequest request = aState.wire.store.append(aTopic, aRecord, aAt);
-  const StoreCallLabels purpose{ "append", aTopic };
-  auto reply = co_await CallStore(aState, purpose, std::move(request));
-  if (!reply) {
-    co_return tl::unexpected(reply.error());
+  HttpRequest request = aState.wire.store.append(aTopic, aRecord, aExpectedEnd);
+  const StoreCallLabels labels{ "append", aTopic };
+  auto response = co_await CallStore(aState, labels, std::move(request));
+  if (!response) {
+    co_return tl::unexpected(response.error());
   }
-  co_return aState.wire.store.appendedPosition(*reply);
+  co_return aState.wire.store.appendedPosition(*response);
 }
 
 Task<Result<TopicPage>>
 ReadLatest(ServingState& aState, StoreTopic aTopic)
 {
-  TopicPage whole;
+  TopicPage snapshot;
   std::string after;
   bool more = true;
   for (bool first = true; more; first = false) {
-    const StoreCallLabels purpose{ "newest", aTopic };
-    auto reply = co_await CallStore(
-      aState, purpose, aState.wire.store.readLatest(aTopic, after));
-    if (!reply) {
-      co_return tl::unexpected(reply.error());
+    const StoreCallLabels labels{ "newest", aTopic };
+    auto response = co_await CallStore(
+      aState, labels, aState.wire.store.readLatest(aTopic, after));
+    if (!response) {
+      co_return tl::unexpected(response.error());
     }
-    auto page = aState.wire.store.latestPage(*reply);
+    auto page = aState.wire.store.latestPage(*response);
     if (!page) {
       co_return tl::unexpected(page.error());
     }
     if (first) {
-      // Pages are read one after the other: what changes meanwhile stands
-      // behind the end that the first one names.
-      whole.next = page->next;
+      // Pages are read one after the other: a change made meanwhile has a
+      // position after the end that the first page states.
+      snapshot.next = page->next;
     }
     more = page->more && !page->records.empty();
     for (KeyedRecord& record : page->records) {
       after = record.key;
-      whole.records.push_back(std::move(record));
+      snapshot.records.push_back(std::move(record));
     }
   }
-  co_return whole;
+  co_return snapshot;
 }
 
 } // namespace toucanshed
--- a/src/serve/StoreClient.h
+++ b/src/serve/StoreClient.h
@@ -1,5 +1,6 @@
 /** \file
- * Bounded calls to the store, and whether it is reached at all.
+ * Calls to the store with a timeout, and tracking of whether the store is
+ * reachable.
  */
 #pragma once
 
@@ -10,41 +11,43 @@
 
 struct ServingState;
 
-/** How long a call to the store may take. A store that is slow by fifty times
- * answers in 200 ms; one that takes longer is as good as away, since what it
- * says must be in force within two seconds. */
+/** Timeout of a call to the store. A store that is slower by a factor of fifty
+ * responds in 200 ms. One that takes longer than this counts as unreachable,
+ * since what it returns must be in force within two seconds. */
 constexpr Millis kStoreCallTimeout{ 1200 };
 
-/** The topic's name in logs and counters. */
+/** The topic's name in logs and metrics. */
 const char*
 NameOf(StoreTopic aTopic);
 
-/** What a call to the store is for, as the counters tell them apart. */
+/** What a call to the store is for, as labels of its metric. */
 struct StoreCallLabels
 {
   const char* call = "read"; // read, newest or append
   StoreTopic topic = StoreTopic::eOperator;
 };
 
-/** Makes one call. A lost answer leaves open whether the call took effect; the
- * caller settles that by reading.
+/** Makes one call. If the response is lost, the call may or may not have taken
+ * effect; the caller finds out by reading.
  * \param aWait time the store itself may hold the call.
  * Precondition: the settings name a store. */
 Task<Result<HttpResponse>>
 CallStore(ServingState& aState,
-          StoreCallLabels aPurpose,
+          StoreCallLabels aLabels,
           HttpRequest aRequest,
           Millis aWait = Millis(0));
 
 /** Appends a record.
- * \param aAt append only if the topic ends there; eConflict if it does not. */
+ * \param aExpectedEnd append only if the topic ends there; eConflict if it does
+ *   not. */
 Task<Result<Position>>
 AppendToStore(ServingState& aState,
               StoreTopic aTopic,
               std::string aRecord,
-              std::optional<Position> aAt = std::nullopt);
+              std::optional<Position> aExpectedEnd = std::nullopt);
 
-/** All newest records of a keyed topic; next is where to read on. */
+/** Reads the latest records of all keys of a keyed topic; next is where to
+ * continue reading. */
 Task<Result<TopicPage>>
 ReadLatest(ServingState& aState, StoreTopic aTopic);
 
--- a/src/serve/StoreWatcher.cpp
+++ b/src/serve/StoreWatcher.cpp
@@ -13,207 +13,215 @@
 
 namespace {
 
-/** The list is read this often as a part of the time in which an entry that
- * says "leaving" must be obeyed; the rest is for a slow answer. Reading at each
- * heartbeat instead costs a call for every beat of every back end. */
+/** Interval between reads of the list, as a fraction of the time within which
+ * an entry that says "leaving" must be obeyed; the rest is left for a slow
+ * response. A read at each entry renewal would cost a call per renewal of each
+ * back end. */
 constexpr double kListIntervalFraction = 0.35;
-/** A change of the configuration is pushed by a call that waits for it. It is
- * renewed within a part of the time in which a change must be in force, so that
- * a connection that has gone silent delays no change by more, and so that the
- * other daemons hear in time that nothing has changed. */
+/** How long the store may hold a call that waits for a change of the
+ * configuration, as a fraction of the time within which a change must be in
+ * force. A dead connection delays a change by no more than that, and the other
+ * daemons receive in time the report that nothing has changed. */
 constexpr double kLongPollFraction = 0.4;
-/** A daemon that does not read for all reads itself when its copy is older than
- * this part of the time in which a change must be obeyed: more than the second
- * reader lets pass, so that it happens only when both are silent. */
+/** A daemon that is not a reader reads for itself when its copy is older than
+ * this fraction of the time within which a change must be obeyed. That is more
+ * than the standby reader allows, so it happens only when both readers are
+ * unreachable. */
 constexpr double kMaxAgeFraction = 0.65;
-/** The second reader reads for all when its copy is older than this part. Two
- * that read side by side cost twice the calls. */
+/** The standby reader reads for all when its copy is older than this fraction.
+ * Two daemons that both read all the time would cost twice the calls. */
 constexpr double kStandbyMaxAgeFraction = 0.5;
-/** How often it looks whether that is so. */
+/** How often a daemon checks whether it must read. */
 constexpr Millis kPollInterval{ 100 };
 
-/** One topic and what to do with its records. */
+/** A topic and how to handle its records. */
 struct TopicSubscription
 {
   StoreTopic topic = StoreTopic::eOperator;
-  Millis longPollTime{
-    0
-  };                       // how long the store holds a call that finds nothing
-  Millis minInterval{ 0 }; // least time between two calls of a reader
-  Millis maxAge{ 0 };      // age of a copy at which it is read in any case
-  /** Age of a copy at which the second reader reads: soon after the first one
-   * should have told its own read. */
+  /** How long the store holds a call when there is nothing new. */
+  Millis longPollTime{ 0 };
+  Millis minInterval{ 0 }; // shortest time between two calls of a reader
+  Millis maxAge{ 0 };      // age of a copy at which every daemon reads itself
+  /** Age of a copy at which the standby reader reads: soon after the primary
+   * reader should have reported its own read. */
   Millis standbyMaxAge{ 0 };
-  /** Whether where to read on is kept while others read; a topic in which every
-   * engine writes each second is cheaper to read whole then. */
+  /** Whether a daemon keeps its position while others read. A topic in which
+   * every engine writes each second is cheaper to read whole after that. */
   bool keepsPosition = true;
   TopicFreshness* freshness = nullptr;
-  /** All keys' newest records, as of when the store was asked. */
+  /** Applies the latest records of all keys, as of when the store was asked. */
   std::function<void(const TopicPage&, TimePoint aAsOf)> replace;
   std::function<void(const KeyedRecord&, TimePoint aAsOf)> apply;
-  /** The topic was read up to aEnd. */
+  /** Records that the topic was read up to aEnd. */
   std::function<void(Position aEnd)> recordEnd;
-  /** What to tell the others of it. */
+  /** Fills in what to report to the other daemons. */
   std::function<void(serving::StoreReadReport&, Millis aAge)> fillReport;
 };
 
-/** What a read came to. */
+/** The result of a read. */
 struct TopicRead
 {
-  std::optional<Position> next;  // nothing: unknown where to read on
+  std::optional<Position> next;  // nothing: unknown where to continue
   std::optional<TimePoint> asOf; // nothing: the call gave no records
-  bool more = false;             // there are newer records
+  bool more = false;             // there are more records to read
 };
 
-/** Reads all keys' newest records. */
+/** Reads the latest records of all keys. */
 Task<TopicRead>
-ReadSnapshot(ServingState& aState, const TopicSubscription& aFeed)
+ReadSnapshot(ServingState& aState, const TopicSubscription& aSubscription)
 {
-  const TimePoint began = ServingState::Now();
-  auto newest = co_await ReadLatest(aState, aFeed.topic);
-  if (!newest) {
+  const TimePoint startedAt = ServingState::Now();
+  auto latest = co_await ReadLatest(aState, aSubscription.topic);
+  if (!latest) {
     co_return TopicRead{};
   }
-  aFeed.replace(*newest, began);
-  co_return TopicRead{ newest->next, began };
+  aSubscription.replace(*latest, startedAt);
+  co_return TopicRead{ latest->next, startedAt };
 }
 
-/** Reads on by one answer of the store, which may hold only a part of what is
- * new. */
+/** Reads one more page from the store, which may hold only part of the new
+ * records. */
 Task<TopicRead>
 ReadNextPage(ServingState& aState,
-             const TopicSubscription& aFeed,
+             const TopicSubscription& aSubscription,
              Position aFrom,
              Millis aWait)
 {
-  const TimePoint began = ServingState::Now();
-  HttpRequest request = aState.wire.store.read(aFeed.topic, aFrom, aWait);
-  const StoreCallLabels purpose{ "read", aFeed.topic };
-  auto reply = co_await CallStore(aState, purpose, std::move(request), aWait);
-  if (!reply) {
+  const TimePoint startedAt = ServingState::Now();
+  HttpRequest request =
+    aState.wire.store.read(aSubscription.topic, aFrom, aWait);
+  const StoreCallLabels labels{ "read", aSubscription.topic };
+  auto response = co_await CallStore(aState, labels, std::move(request), aWait);
+  if (!response) {
     co_return TopicRead{ aFrom, std::nullopt };
   }
-  auto page = aState.wire.store.readPage(*reply, aFrom);
+  auto page = aState.wire.store.readPage(*response, aFrom);
   if (!page && page.error().code == ErrorCode::eConflict) {
     aState.log.Emit(Event("store.history_dropped")
-                      .With("topic", NameOf(aFeed.topic))
+                      .With("topic", NameOf(aSubscription.topic))
                       .With("position", aFrom.value));
     co_return TopicRead{};
   }
-  const bool stuck = page && page->more && page->records.empty();
-  if (!page || stuck) {
+  const bool noProgress = page && page->more && page->records.empty();
+  if (!page || noProgress) {
     co_return TopicRead{ aFrom, std::nullopt };
   }
-  // A call that was held until its time was over found nothing until then.
-  const bool held =
-    page->records.empty() && ServingState::Now() - began >= aWait;
-  const TimePoint asOf = held ? began + aWait : began;
+  // A call that was held for the whole aWait found nothing until its end.
+  const bool timedOut =
+    page->records.empty() && ServingState::Now() - startedAt >= aWait;
+  const TimePoint asOf = timedOut ? startedAt + aWait : startedAt;
   for (const KeyedRecord& record : page->records) {
-    aFeed.apply(record, asOf);
+    aSubscription.apply(record, asOf);
   }
   co_return TopicRead{ page->next, asOf, page->more };
 }
 
-/** Brings the copy up to date. */
+/** Updates the copy to the end of the topic. */
 Task<TopicRead>
-Read(ServingState& aState,
-     const TopicSubscription& aFeed,
-     std::optional<Position> aFrom,
-     Millis aWait)
+ReadUpdates(ServingState& aState,
+            const TopicSubscription& aSubscription,
+            std::optional<Position> aFrom,
+            Millis aWait)
 {
   if (!aFrom) {
-    co_return co_await ReadSnapshot(aState, aFeed);
+    co_return co_await ReadSnapshot(aState, aSubscription);
   }
-  TopicRead read = co_await ReadNextPage(aState, aFeed, *aFrom, aWait);
+  TopicRead read = co_await ReadNextPage(aState, aSubscription, *aFrom, aWait);
   while (read.more) {
-    read = co_await ReadNextPage(aState, aFeed, *read.next, Millis(0));
+    read = co_await ReadNextPage(aState, aSubscription, *read.next, Millis(0));
   }
   const bool dropped = !read.next;
   if (dropped) {
-    co_return co_await ReadSnapshot(aState, aFeed);
+    co_return co_await ReadSnapshot(aState, aSubscription);
   }
   co_return read;
 }
 
 void
-Tell(ServingState& aState, const TopicSubscription& aFeed, TimePoint aAsOf)
+SendReadReport(ServingState& aState,
+               const TopicSubscription& aSubscription,
+               TimePoint aAsOf)
 {
   const TimePoint now = ServingState::Now();
-  serving::StoreReadReport word;
-  word.set_id(aState.settings.id.value);
-  aFeed.fillReport(word, now - aAsOf);
-  aState.sendStoreRead(word);
+  serving::StoreReadReport report;
+  report.set_id(aState.settings.id.value);
+  aSubscription.fillReport(report, now - aAsOf);
+  aState.sendStoreRead(report);
 }
 
-/** Tells of a read that another daemon should have made. */
+/** Logs a read that a reader should have made for this daemon. */
 void
 LogUnplannedRead(ServingState& aState,
-                 const TopicSubscription& aFeed,
-                 TimePoint aBegan)
+                 const TopicSubscription& aSubscription,
+                 TimePoint aStartedAt)
 {
-  const auto asOf = aFeed.freshness->AsOf();
-  aState.log.Emit(Event("store.own_read")
-                    .With("topic", NameOf(aFeed.topic))
-                    .With("differs", aFeed.freshness->IsBehind() ? 1 : 0)
-                    .With("copy_ms_old", asOf ? (aBegan - *asOf).count() : -1)
-                    .With("ms", (ServingState::Now() - aBegan).count()));
+  const auto asOf = aSubscription.freshness->AsOf();
+  aState.log.Emit(
+    Event("store.own_read")
+      .With("topic", NameOf(aSubscription.topic))
+      .With("differs", aSubscription.freshness->IsBehind() ? 1 : 0)
+      .With("copy_ms_old", asOf ? (aStartedAt - *asOf).count() : -1)
+      .With("ms", (ServingState::Now() - aStartedAt).count()));
 }
 
 Task<void>
-WatchTopic(ServingState& aState, TopicSubscription aFeed)
+WatchTopic(ServingState& aState, TopicSubscription aSubscription)
 {
   std::optional<Position> next;
   ReadBackoff retry;
   while (true) {
-    const TimePoint began = ServingState::Now();
-    const auto turn = aState.StoreReaderRank();
-    const bool reads = turn.has_value();
-    const Millis most = reads ? aFeed.standbyMaxAge : aFeed.maxAge;
-    const bool first = reads && *turn == 0;
-    const bool waits = !first && !aState.storeLostSince &&
-                       !aFeed.freshness->NeedsRead(began, most);
-    if (waits) {
-      if (!reads && !aFeed.keepsPosition) {
+    const TimePoint startedAt = ServingState::Now();
+    const auto rank = aState.StoreReaderRank();
+    const bool isReader = rank.has_value();
+    const Millis maxAge =
+      isReader ? aSubscription.standbyMaxAge : aSubscription.maxAge;
+    const bool isPrimary = isReader && *rank == 0;
+    const bool mayWait = !isPrimary && !aState.storeLostSince &&
+                         !aSubscription.freshness->NeedsRead(startedAt, maxAge);
+    if (mayWait) {
+      if (!isReader && !aSubscription.keepsPosition) {
         next.reset();
       }
       co_await Sleep(kPollInterval);
       continue;
     }
-    if (!reads) {
+    if (!isReader) {
       aState.metrics.Count("toucanshed_own_reads_total",
-                           std::string("topic=\"") + NameOf(aFeed.topic) +
-                             "\"");
+                           std::string("topic=\"") +
+                             NameOf(aSubscription.topic) + "\"");
     }
-    const Millis wait = reads ? aFeed.longPollTime : Millis(0);
-    const TopicRead read = co_await Read(aState, aFeed, next, wait);
+    const Millis wait = isReader ? aSubscription.longPollTime : Millis(0);
+    const TopicRead read =
+      co_await ReadUpdates(aState, aSubscription, next, wait);
     next = read.next;
     if (!read.asOf) {
-      // Those that read for all are few and ask on at the shortest pause.
-      co_await Sleep(retry.NextDelay(reads ? 1 : aState.DaemonCount()));
+      // Readers are few, so they retry with the shortest delay.
+      co_await Sleep(retry.NextDelay(isReader ? 1 : aState.DaemonCount()));
       continue;
     }
     retry.Reset();
-    if (!first) {
-      LogUnplannedRead(aState, aFeed, began);
+    if (!isPrimary) {
+      LogUnplannedRead(aState, aSubscription, startedAt);
     }
-    aFeed.recordEnd(*next);
-    aFeed.freshness->RecordLocalRead(*read.asOf);
-    if (!reads) {
+    aSubscription.recordEnd(*next);
+    aSubscription.freshness->RecordLocalRead(*read.asOf);
+    if (!isReader) {
       continue;
     }
-    Tell(aState, aFeed, *read.asOf);
-    const Millis left = aFeed.minInterval - (ServingState::Now() - began);
-    if (left > Millis(0)) {
-      co_await Sleep(left);
+    SendReadReport(aState, aSubscription, *read.asOf);
+    const Millis pause =
+      aSubscription.minInterval - (ServingState::Now() - startedAt);
+    if (pause > Millis(0)) {
+      co_await Sleep(pause);
     }
   }
 }
 
 Millis
-Part(Millis aTime, double aPart)
+FractionOf(Millis aTime, double aFraction)
 {
   return Millis(
-    static_cast<std::int64_t>(static_cast<double>(aTime.count()) * aPart));
+    static_cast<std::int64_t>(static_cast<double>(aTime.count()) * aFraction));
 }
 
 void
@@ -238,21 +246,22 @@
 
 void
 FillListReport(ServingState& aState,
-               serving::StoreReadReport& aWord,
+               serving::StoreReadReport& aReport,
                Millis aAge)
 {
-  aWord.set_list_read(true);
-  aWord.set_list_age_ms(static_cast<std::uint64_t>(aAge.count()));
-  aWord.set_list_digest(aState.backends.Digest());
+  aReport.set_list_read(true);
+  aReport.set_list_age_ms(static_cast<std::uint64_t>(aAge.count()));
+  aReport.set_list_digest(aState.backends.Digest());
   for (const ListChange& change :
        aState.listRevisions.ChangesToReport(ServingState::Now())) {
-    auto* record = aWord.add_news();
+    auto* record = aReport.add_news();
     record->set_key(change.key);
     record->set_position(change.position.value);
     record->set_gone(!change.value.has_value());
     record->set_leaving(change.leaving);
-    // A domain's reclaim lists tens of engines at once; 10 times as short, the
-    // word passes a link of 10 Mbit/s to 88 daemons in 0.1 s, not in one.
+    // A reclaim of a failure domain changes tens of entries at once. Without
+    // their values the datagram is 10 times shorter and reaches 88 daemons over
+    // a link of 10 Mbit/s in 0.1 s instead of one.
     record->set_value(change.leaving ? "" : change.value.value_or(""));
   }
 }
@@ -263,91 +272,95 @@
 WatchOperatorTopic(ServingState& aState)
 {
   const Millis bound = aState.settings.bounds.configurationDelay;
-  TopicSubscription feed;
-  feed.topic = StoreTopic::eOperator;
-  feed.longPollTime = Part(bound, kLongPollFraction);
-  feed.maxAge = Part(bound, kMaxAgeFraction);
-  feed.standbyMaxAge = Part(bound, kStandbyMaxAgeFraction);
-  feed.freshness = &aState.operatorFreshness;
-  feed.apply = [&aState](const KeyedRecord& aRecord, TimePoint) {
+  TopicSubscription subscription;
+  subscription.topic = StoreTopic::eOperator;
+  subscription.longPollTime = FractionOf(bound, kLongPollFraction);
+  subscription.maxAge = FractionOf(bound, kMaxAgeFraction);
+  subscription.standbyMaxAge = FractionOf(bound, kStandbyMaxAgeFraction);
+  subscription.freshness = &aState.operatorFreshness;
+  subscription.apply = [&aState](const KeyedRecord& aRecord, TimePoint) {
     ApplyOperatorRecord(aState, aRecord);
   };
-  feed.replace = [&aState](const TopicPage& aPage, TimePoint) {
+  subscription.replace = [&aState](const TopicPage& aPage, TimePoint) {
     for (const KeyedRecord& record : aPage.records) {
       ApplyOperatorRecord(aState, record);
     }
   };
-  feed.recordEnd = [&aState](Position aEnd) { aState.operatorEnd = aEnd; };
-  feed.fillReport = [&aState](serving::StoreReadReport& aWord, Millis aAge) {
-    aWord.set_operator_end(aState.operatorEnd.value);
-    aWord.set_operator_age_ms(static_cast<std::uint64_t>(aAge.count()));
+  subscription.recordEnd = [&aState](Position aEnd) {
+    aState.operatorEnd = aEnd;
   };
-  co_await WatchTopic(aState, std::move(feed));
+  subscription.fillReport = [&aState](serving::StoreReadReport& aReport,
+                                      Millis aAge) {
+    aReport.set_operator_end(aState.operatorEnd.value);
+    aReport.set_operator_age_ms(static_cast<std::uint64_t>(aAge.count()));
+  };
+  co_await WatchTopic(aState, std::move(subscription));
 }
 
 Task<void>
 WatchBackendList(ServingState& aState)
 {
   const Millis bound = aState.settings.bounds.drainDelay;
-  TopicSubscription feed;
-  feed.topic = StoreTopic::eBackends;
-  feed.minInterval = Part(bound, kListIntervalFraction);
-  feed.maxAge = Part(bound, kMaxAgeFraction);
-  feed.standbyMaxAge = Part(bound, kStandbyMaxAgeFraction);
-  feed.keepsPosition = false;
-  feed.freshness = &aState.listFreshness;
-  feed.apply = [&aState](const KeyedRecord& aRecord, TimePoint aAsOf) {
+  TopicSubscription subscription;
+  subscription.topic = StoreTopic::eBackends;
+  subscription.minInterval = FractionOf(bound, kListIntervalFraction);
+  subscription.maxAge = FractionOf(bound, kMaxAgeFraction);
+  subscription.standbyMaxAge = FractionOf(bound, kStandbyMaxAgeFraction);
+  subscription.keepsPosition = false;
+  subscription.freshness = &aState.listFreshness;
+  subscription.apply = [&aState](const KeyedRecord& aRecord, TimePoint aAsOf) {
     ApplyListRecord(
       aState, aRecord, BackendListRead{ aState.settings.id, aAsOf });
   };
-  feed.replace = [&aState](const TopicPage& aPage, TimePoint aAsOf) {
+  subscription.replace = [&aState](const TopicPage& aPage, TimePoint aAsOf) {
     ReplaceBackendList(
       aState, aPage, BackendListRead{ aState.settings.id, aAsOf });
   };
-  feed.recordEnd = [](Position) {};
-  feed.fillReport = [&aState](serving::StoreReadReport& aWord, Millis aAge) {
-    FillListReport(aState, aWord, aAge);
+  subscription.recordEnd = [](Position) {};
+  subscription.fillReport = [&aState](serving::StoreReadReport& aReport,
+                                      Millis aAge) {
+    FillListReport(aState, aReport, aAge);
   };
-  co_await WatchTopic(aState, std::move(feed));
+  co_await WatchTopic(aState, std::move(subscription));
 }
 
 void
 ApplyStoreReadReport(ServingState& aState,
-                     const serving::StoreReadReport& aWord)
+                     const serving::StoreReadReport& aReport)
 {
   const TimePoint now = ServingState::Now();
-  if (aWord.operator_end() > 0) {
-    const auto age = static_cast<std::int64_t>(aWord.operator_age_ms());
+  if (aReport.operator_end() > 0) {
+    const auto age = static_cast<std::int64_t>(aReport.operator_age_ms());
     const TimePoint asOf = now - Millis(age);
-    const bool same = aState.operatorEnd.value >= aWord.operator_end();
+    const bool isCurrent = aState.operatorEnd.value >= aReport.operator_end();
     aState.storeOutage.RecordSuccess(asOf);
-    aState.operatorFreshness.RecordPeerRead(asOf, same);
+    aState.operatorFreshness.RecordPeerRead(asOf, isCurrent);
   }
-  if (!aWord.list_read() || !aState.backendsRead) {
+  if (!aReport.list_read() || !aState.backendsRead) {
     return;
   }
-  const auto age = static_cast<std::int64_t>(aWord.list_age_ms());
-  const BackendListRead read{ DaemonId{ aWord.id() }, now - Millis(age) };
+  const auto age = static_cast<std::int64_t>(aReport.list_age_ms());
+  const BackendListRead read{ DaemonId{ aReport.id() }, now - Millis(age) };
   aState.storeOutage.RecordSuccess(read.asOf);
-  for (const serving::BackendListRecord& news : aWord.news()) {
-    if (news.leaving()) {
+  for (const serving::BackendListRecord& entry : aReport.news()) {
+    if (entry.leaving()) {
       ApplyLeaving(
-        aState, InstanceId{ news.key() }, Position{ news.position() }, read);
+        aState, InstanceId{ entry.key() }, Position{ entry.position() }, read);
       continue;
     }
     KeyedRecord record;
-    record.key = news.key();
-    record.position = Position{ news.position() };
-    if (!news.gone()) {
-      record.value = news.value();
+    record.key = entry.key();
+    record.position = Position{ entry.position() };
+    if (!entry.gone()) {
+      record.value = entry.value();
     }
     ApplyBackendRecord(aState, record, read);
   }
-  const bool same = aState.backends.Digest() == aWord.list_digest();
-  if (!same) {
+  const bool isCurrent = aState.backends.Digest() == aReport.list_digest();
+  if (!isCurrent) {
     aState.metrics.Count("toucanshed_list_differs_total");
   }
-  aState.listFreshness.RecordPeerRead(read.asOf, same);
+  aState.listFreshness.RecordPeerRead(read.asOf, isCurrent);
 }
 
 } // namespace toucanshed
--- a/src/serve/StoreWatcher.h
+++ b/src/serve/StoreWatcher.h
@@ -1,9 +1,10 @@
 /** \file
  * Follows what operators and back ends write to the store.
  *
- * Two of the daemons read and tell the others that their copies are current,
- * with what has changed in the list. Who hears of neither, or holds something
- * else, reads itself. Everyone reading would cost the store a call a daemon.
+ * Two of the daemons are readers. They report to the others how current their
+ * copies are, and what has changed in the list. A daemon that receives neither
+ * report, or whose copy differs, reads for itself. If every daemon read, each
+ * round would cost the store a call per daemon.
  */
 #pragma once
 
@@ -17,19 +18,19 @@
 class StoreReadReport;
 }
 
-/** Keeps aState.catalog and the orders of moves at their newest, for as long
- * as the daemon runs. */
+/** Keeps aState.catalog and the rollout orders current, for as long as the
+ * daemon runs. */
 Task<void>
 WatchOperatorTopic(ServingState& aState);
 
-/** Keeps aState.backends at what the list says. */
+/** Keeps aState.backends equal to the list, for as long as the daemon runs. */
 Task<void>
 WatchBackendList(ServingState& aState);
 
-/** Takes in what another daemon has read in the store. Thread safety: belongs
- * to the worker. */
+/** Applies what another daemon reports to have read from the store. Thread
+ * safety: belongs to the worker. */
 void
 ApplyStoreReadReport(ServingState& aState,
-                     const serving::StoreReadReport& aWord);
+                     const serving::StoreReadReport& aReport);
 
 } // namespace toucanshed
--- a/src/serve/WireFormats.h
+++ b/src/serve/WireFormats.h
@@ -1,6 +1,6 @@
 /** \file
  * Hooks that translate between this system's types and the protocols of
- * callers, back ends, store and cloud. An adapter fills them; they hold no
+ * callers, back ends, store and cloud. An adapter implements them; they make no
  * decisions.
  */
 #pragma once
@@ -26,30 +26,31 @@
   InstanceId backend;
   std::optional<Millis> timeLeft;
   TeamId team;      // empty on open routes
-  int priority = 0; // 0 goes first
+  int priority = 0; // 0 is the most urgent
   std::optional<std::uint64_t> resumeAfter;
 };
 
-/** What a back end's answer says before its body. */
+/** What a back end's response states before its body. */
 struct BackendResponseHead
 {
   AttemptId attempt;
-  bool notRun = false;           // it says that it did not run the request
-  bool otherInstance = false;    // another back end has the address now
-  bool closesConnection = false; // it closes the connection after this
+  bool notRun = false; // the back end states that it did not run the request
+  bool otherInstance = false;    // another back end has this address now
+  bool closesConnection = false; // the connection closes after this response
   bool isStream = false;
-  /** What it takes from all daemons together; nothing when it is not in need.
-   */
+  /** The requests it accepts from all daemons together; nothing when it is not
+   * rate-limited. */
   std::optional<RequestRate> limit;
-  bool unreadableLimit = false; // it names one: what was known of it holds
+  bool unreadableLimit = false; // given but unreadable; the known one stays
 };
 
 /** The callers' protocol. */
 struct CallerFormat
 {
-  /** Reads a request; the error's message tells the caller what is wrong. */
+  /** Reads a request; the error's message describes to the caller what is
+   * wrong. */
   std::function<Result<IncomingRequest>(const HttpRequest&)> read;
-  /** Adds to an answer of this system's own what the protocol asks for. */
+  /** Adds the protocol's fields to a response of the daemon itself. */
   std::function<void(const AttemptId&, HttpResponse&)> completeLocalResponse;
 };
 
@@ -59,7 +60,7 @@
   std::function<HttpRequest(const IncomingRequest&, const SendContext&)> write;
   std::function<BackendResponseHead(unsigned aStatus, const http::fields&)>
     read;
-  /** The head to pass to the caller: all that does not concern only the
+  /** The head to forward to the caller, without what concerns only the
    * connection to the back end. */
   std::function<HttpResponse(unsigned aStatus, const http::fields&)>
     forwardHead;
@@ -69,11 +70,11 @@
 struct KeyedRecord
 {
   std::string key;
-  std::optional<std::string> value; // nothing: the key is dropped
+  std::optional<std::string> value; // nothing: the key is removed
   Position position;
 };
 
-/** Part of a topic: its records and where to go on. */
+/** A page of a topic: its records and the position to continue from. */
 struct TopicPage
 {
   std::vector<KeyedRecord> records;
@@ -81,7 +82,7 @@
   bool more = false;
 };
 
-/** Plain records of a topic. */
+/** A page of a topic whose records have no keys. */
 struct LogPage
 {
   std::vector<std::string> records;
@@ -89,27 +90,27 @@
   Position end;
 };
 
-/** Which of the store's topics. */
+/** The store's topics. */
 enum class StoreTopic
 {
   eOperator,
   eBackends,
   eStatus,
-  eMembers, // the daemons' addresses; ours
-  eDuties,  // elections and what holders decided; ours
+  eMembers, // the daemons' addresses; this system's own topic
+  eDuties,  // duty claims and holders' decisions; this system's own
 };
 
-/** The store's protocol. Requests are sent and answers awaited by the caller
- * of these hooks. */
+/** The store's protocol. The caller of these hooks sends the requests and
+ * awaits the responses. */
 struct StoreFormat
 {
   std::function<HttpRequest(StoreTopic, Position aFrom, Millis aWait)> read;
   std::function<HttpRequest(StoreTopic, const std::string& aAfterKey)>
     readLatest;
-  /** \param aAt append only if the topic ends there. */
+  /** \param aExpectedEnd append only if the topic ends there. */
   std::function<HttpRequest(StoreTopic,
                             const std::string& aRecord,
-                            std::optional<Position>)>
+                            std::optional<Position> aExpectedEnd)>
     append;
   std::function<std::string(const std::string& aKey, const std::string& aValue)>
     keyedRecord;
@@ -117,15 +118,15 @@
     readPage;
   std::function<Result<TopicPage>(const HttpResponse&)> latestPage;
   std::function<Result<LogPage>(const HttpResponse&, Position aFrom)> logPage;
-  /** The first record that is left, from an answer that says that those asked
-   * for are gone; nothing when it does not say. */
+  /** The first retained record, from a response that says that the requested
+   * ones are dropped; nothing when it does not say. */
   std::function<std::optional<Position>(const HttpResponse&)> firstRetained;
-  /** The position that a record got, or where the topic ends if it was not
+  /** The position of the appended record, or where the topic ends if it was not
    * appended because of the condition (eConflict). */
   std::function<Result<Position>(const HttpResponse&)> appendedPosition;
 };
 
-/** How an order for a move was decided, as a status record tells. */
+/** How a rollout order was decided, as stated by a status record. */
 struct RolloutStatusRecord
 {
   ServiceId service;
@@ -133,7 +134,8 @@
   RolloutPhase stage = RolloutPhase::eActive;
 };
 
-/** Records of the store that others write. */
+/** Records in the store that operators, back ends and the platform read or
+ * write. */
 struct RecordFormat
 {
   std::function<Result<Catalog>(const std::string&)> catalog;
@@ -145,7 +147,7 @@
   std::function<Result<RolloutOrder>(const std::string&)> rolloutOrder;
   std::function<std::string(const RolloutOrder&)> rolloutStatusKey;
   std::function<std::string(const RolloutOrder&, RolloutPhase)> rolloutStatus;
-  /** Reads a status that this system has written. */
+  /** Reads a rollout status that this system has written. */
   std::function<Result<RolloutStatusRecord>(const std::string&)>
     readRolloutStatus;
 };
@@ -161,7 +163,7 @@
   auto operator<=>(const ScaleOrder&) const = default;
 };
 
-/** The cloud's protocol: calls that are the duty of one daemon. */
+/** The cloud's protocol: calls that one daemon makes for all as a duty. */
 struct CloudFormat
 {
   std::function<HttpRequest(const DaemonId&,
--- a/test/PlatformHarness.cpp
+++ b/test/PlatformHarness.cpp
@@ -79,21 +79,24 @@
 PlatformHarness::PlatformHarness(std::uint16_t aPort)
   : port(aPort)
 {
-  const Endpoint storeAt(boost::asio::ip::address_v4::loopback(), aPort);
-  const Endpoint cloudAt(boost::asio::ip::address_v4::loopback(), aPort + 1);
-  this->state = MakeServingState(
-    "daemon-1", storeAt, cloudAt, static_cast<std::uint16_t>(aPort + 9));
+  const Endpoint storeEndpoint(boost::asio::ip::address_v4::loopback(), aPort);
+  const Endpoint cloudEndpoint(boost::asio::ip::address_v4::loopback(),
+                               aPort + 1);
+  this->state = MakeServingState("daemon-1",
+                                 storeEndpoint,
+                                 cloudEndpoint,
+                                 static_cast<std::uint16_t>(aPort + 9));
   this->StartServer(
-    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-      return this->store.Handle(aIn, aOut);
+    [this](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
+      return this->store.Handle(aRequest, aResponder);
     });
   this->StartServer(
-    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-      return this->cloud.Handle(aIn, aOut);
+    [this](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
+      return this->cloud.Handle(aRequest, aResponder);
     });
   this->callers = this->StartServer(
-    [this](Worker&, const HttpRequest& aIn, HttpResponder& aOut) {
-      return HandleCallerRequest(*this->state, aIn, aOut);
+    [this](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
+      return HandleCallerRequest(*this->state, aRequest, aResponder);
     });
   this->state->catalog =
     std::make_shared<const Catalog>(*platform::ParseCatalog(CatalogText(1)));
@@ -122,15 +125,16 @@
   auto& engine = this->engines[aId];
   engine = std::make_unique<standin::PlatformEngine>(aId);
   engine->streams = aService == "model";
-  standin::PlatformEngine& served = *engine;
+  standin::PlatformEngine& engineRef = *engine;
   const Endpoint endpoint = this->StartServer(
-    [&served](Worker&, const HttpRequest& aIn, HttpResponder& aTo) {
-      return served.Handle(aIn, aTo);
+    [&engineRef](
+      Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
+      return engineRef.Handle(aRequest, aResponder);
     });
   this->engineServers[aId] = this->servers.back().get();
   this->engineAddresses[aId] = { aService, endpoint };
   this->state->backends.Put(*platform::ParseBackendEntry(aId, EntryOf(aId)));
-  return served;
+  return engineRef;
 }
 
 void
@@ -155,55 +159,56 @@
 }
 
 Task<CallerResponse>
-PlatformHarness::SendRequest(CallerMessage aSend)
+PlatformHarness::SendRequest(CallerMessage aMessage)
 {
   HttpRequest request =
-    MakeRequest(http::verb::post, aSend.path, std::move(aSend.body));
+    MakeRequest(http::verb::post, aMessage.path, std::move(aMessage.body));
   request.set("Host", "service.example");
-  request.set("Attempt-Id", aSend.attempt);
-  request.set("Authorization", "Token " + aSend.key);
+  request.set("Attempt-Id", aMessage.attempt);
+  request.set("Authorization", "Token " + aMessage.key);
   request.set("Deadline-Ms", "1200");
-  for (const auto& [name, value] : aSend.fields) {
+  for (const auto& [name, value] : aMessage.fields) {
     request.set(name, value);
   }
-  CallerResponse view;
+  CallerResponse response;
   auto exchange = co_await HttpExchange::Open(this->state->pool.First(),
                                               this->callers,
                                               std::move(request),
                                               CallTimeouts{},
                                               true);
   if (!exchange) {
-    co_return view;
+    co_return response;
   }
-  view.status = exchange->Status();
-  view.seal = HeaderOf(exchange->Headers(), "Response-Seal");
-  view.retryAfter = HeaderOf(exchange->Headers(), "Retry-After");
+  response.status = exchange->Status();
+  response.seal = HeaderOf(exchange->Headers(), "Response-Seal");
+  response.retryAfter = HeaderOf(exchange->Headers(), "Retry-After");
   while (true) {
-    auto piece = co_await exchange->ReadChunk();
-    if (!piece) {
-      co_return view;
+    auto chunk = co_await exchange->ReadChunk();
+    if (!chunk) {
+      co_return response;
     }
-    if (!piece->has_value()) {
+    if (!chunk->has_value()) {
       break;
     }
-    view.body += **piece;
+    response.body += **chunk;
   }
-  view.complete = true;
-  co_return view;
+  response.complete = true;
+  co_return response;
 }
 
 Task<std::size_t>
 PlatformHarness::SendRequests(std::size_t aCount)
 {
   constexpr unsigned kOk = 200;
-  std::size_t answered = 0;
+  std::size_t succeeded = 0;
   for (std::size_t i = 0; i < aCount; ++i) {
-    CallerMessage send;
-    send.attempt = "many-" + std::to_string(i);
-    const CallerResponse seen = co_await this->SendRequest(std::move(send));
-    answered += seen.status == kOk ? 1 : 0;
+    CallerMessage message;
+    message.attempt = "many-" + std::to_string(i);
+    const CallerResponse response =
+      co_await this->SendRequest(std::move(message));
+    succeeded += response.status == kOk ? 1 : 0;
   }
-  co_return answered;
+  co_return succeeded;
 }
 
 void
--- a/test/PlatformHarness.h
+++ b/test/PlatformHarness.h
@@ -1,6 +1,6 @@
 /** \file
- * One serving daemon's parts with small stand-ins of the platform, all on one
- * worker of the test's own thread.
+ * The components of one serving daemon with small fake servers of the platform,
+ * all on one worker on the test's own thread.
  */
 #pragma once
 
@@ -17,10 +17,10 @@
 
 namespace toucanshed::test {
 
-/** What a caller sees of one request. */
+/** What a caller receives for one request. */
 struct CallerResponse
 {
-  unsigned status = 0; // 0: no answer
+  unsigned status = 0; // 0: no response
   std::string body;
   std::string seal;
   std::string retryAfter; // Retry-After
@@ -40,32 +40,33 @@
 class PlatformHarness
 {
 public:
-  /** \param aPort first of the ports that the world may use. */
+  /** \param aPort first of the ports that the harness may use. */
   explicit PlatformHarness(std::uint16_t aPort);
   ~PlatformHarness();
   PlatformHarness(const PlatformHarness&) = delete;
   PlatformHarness& operator=(const PlatformHarness&) = delete;
 
-  /** The configuration that the world starts with, as operators write it:
-   * /book/ may run once, /look/ is idempotent, /chat/ streams once, /report/ is
-   * a resumable stream; each may be run by two back ends. */
+  /** The configuration that the harness starts with, as operators write it:
+   * /book/ is not idempotent and may run once, /look/ is idempotent, /chat/
+   * streams once, /report/ is a resumable stream. Each may be run by two back
+   * ends. */
   static std::string CatalogText(std::uint64_t aVersion,
                                  const std::string& aKey = "key-one");
 
-  /** Adds an engine of a service: "plain" or "model". */
+  /** Adds an engine of a service, "plain" or "model". */
   standin::PlatformEngine& AddEngine(const std::string& aId,
                                      const std::string& aService);
-  /** The engine stops listening, as a crashed one does. */
+  /** Makes the engine stop listening, as a crashed one does. */
   void StopEngine(const std::string& aId);
-  /** An engine's entry as it writes it to the store. */
+  /** An engine's entry, as the engine writes it to the store. */
   std::string EntryOf(const std::string& aId,
                       const std::string& aState = "ready") const;
   /** Sends one request to the daemon. */
-  Task<CallerResponse> SendRequest(CallerMessage aSend);
+  Task<CallerResponse> SendRequest(CallerMessage aMessage);
   /** Sends requests one after the other.
-   * \return those that were answered with 200 */
+   * \return the number of those that got a 200 */
   Task<std::size_t> SendRequests(std::size_t aCount);
-  /** Runs the test's coroutine to its end. */
+  /** Runs the test's coroutine until it ends. */
   void Run(Task<void> aTask);
 
   standin::PlatformStore store;
@@ -83,7 +84,8 @@
   std::map<std::string, HttpServer*> engineServers;
 };
 
-/** A second daemon's state that shares the world's store and cloud. */
+/** Makes the state of a second daemon, which shares the harness's store and
+ * cloud. */
 std::unique_ptr<ServingState>
 MakeServingState(const std::string& aId,
                  const Endpoint& aStore,
--- a/test/failure/EngineStreamTest.cpp
+++ b/test/failure/EngineStreamTest.cpp
@@ -11,29 +11,29 @@
 const Endpoint kEngine(boost::asio::ip::make_address("127.77.0.1"), 21077);
 
 Task<void>
-FetchThenGenerate(WorkerPool& aPool, EngineErrorKind& aFault)
+FetchThenGenerate(WorkerPool& aPool, EngineErrorKind& aError)
 {
-  EngineReport known;
-  known.address = ToText(kEngine);
+  EngineReport report;
+  report.address = ToText(kEngine);
   HttpRequest request = MakeRequest(http::verb::get, "/load");
   co_await Fetch(aPool.First(), kEngine, std::move(request), CallTimeouts{});
-  GenerationRequest call;
-  call.attempt = AttemptId{ "a1" };
-  call.maxTokens = 1;
+  GenerationRequest generation;
+  generation.attempt = AttemptId{ "a1" };
+  generation.maxTokens = 1;
   const auto stream = co_await OpenEngineStream(
-    aPool.First(), known.address, std::move(call), CallTimeouts{});
-  aFault = stream ? EngineErrorKind::eMalformedEvent : stream.error().kind;
+    aPool.First(), report.address, std::move(generation), CallTimeouts{});
+  aError = stream ? EngineErrorKind::eMalformedEvent : stream.error().kind;
 }
 
 } // namespace
 
 TEST_CASE("a crash on a reused connection is not retried")
 {
-  // The caller's request goes to an engine over a connection that carried
-  // another call before, and kills it: the connection closes, and nobody
-  // listens any more. Tried again on a new connection it would look as if
-  // nothing had been sent; the crash would not be counted, and the request
-  // would kill one engine more than it may.
+  // The request goes to an engine over a connection that carried another call
+  // before, and crashes it: the connection closes, and nothing listens any
+  // more. A retry on a new connection would report that nothing was sent. The
+  // crash would then not be counted, and the request would crash one engine
+  // more than allowed.
   WorkerPool pool(1);
   std::unique_ptr<HttpServer> server;
   server = std::make_unique<HttpServer>(
@@ -49,9 +49,9 @@
       }
     });
   REQUIRE(server->Listen(kEngine));
-  EngineErrorKind fault = EngineErrorKind::eMalformedEvent;
-  RunOn(pool, FetchThenGenerate(pool, fault));
-  CHECK(fault == EngineErrorKind::eDisconnected);
+  EngineErrorKind error = EngineErrorKind::eMalformedEvent;
+  RunOn(pool, FetchThenGenerate(pool, error));
+  CHECK(error == EngineErrorKind::eDisconnected);
 }
 
 } // namespace toucanshed::test
