--- a/test/failure/ServingRequestTest.cpp
+++ b/test/failure/ServingRequestTest.cpp
@@ -7,25 +7,25 @@
 
 using Kind = standin::ScriptedResponse::Kind;
 
-/** Sends one request and gives what its caller sees. */
+/** Sends one request. \return the response that its caller receives. */
 CallerResponse
-SendOnce(PlatformHarness& aWorld, const CallerMessage& aSend)
+SendOnce(PlatformHarness& aHarness, const CallerMessage& aMessage)
 {
-  CallerResponse seen;
-  aWorld.Run([](PlatformHarness& aIn,
-                CallerMessage aWhat,
-                CallerResponse& aSeen) -> Task<void> {
-    aSeen = co_await aIn.SendRequest(std::move(aWhat));
-  }(aWorld, aSend, seen));
-  return seen;
+  CallerResponse response;
+  aHarness.Run([](PlatformHarness& aTarget,
+                  CallerMessage aRequest,
+                  CallerResponse& aResponse) -> Task<void> {
+    aResponse = co_await aTarget.SendRequest(std::move(aRequest));
+  }(aHarness, aMessage, response));
+  return response;
 }
 
 CallerMessage
 RequestTo(const std::string& aPath)
 {
-  CallerMessage send;
-  send.path = aPath;
-  return send;
+  CallerMessage message;
+  message.path = aPath;
+  return message;
 }
 
 std::string
@@ -43,12 +43,12 @@
 
 TEST_CASE("a response keeps the back end's seal, body, status")
 {
-  PlatformHarness world(22000);
-  auto& engine = world.AddEngine("e1", "plain");
-  const CallerResponse seen = SendOnce(world, RequestTo("/book/1?x=2"));
-  CHECK(seen.status == 200);
-  CHECK(seen.seal == "seal-of-e1");
-  CHECK(seen.body == "body of e1");
+  PlatformHarness harness(22000);
+  auto& engine = harness.AddEngine("e1", "plain");
+  const CallerResponse response = SendOnce(harness, RequestTo("/book/1?x=2"));
+  CHECK(response.status == 200);
+  CHECK(response.seal == "seal-of-e1");
+  CHECK(response.body == "body of e1");
   REQUIRE(engine.receivedRequests.size() == 1);
   CHECK(engine.receivedRequests[0].target == "/book/1?x=2");
   CHECK(engine.receivedRequests[0].Field("Tenant") == "team-one");
@@ -59,15 +59,16 @@
 
 TEST_CASE("internal request headers from callers are dropped")
 {
-  // A caller sends another team's name and claims on engines' memory. Passed
-  // on, it would be billed to that team, or go on from somebody's memory.
-  PlatformHarness world(22010);
-  auto& engine = world.AddEngine("e1", "plain");
-  CallerMessage send = RequestTo("/look/1");
-  send.fields = { { "Tenant", "team-two" }, { "Kv-From", "10.0.0.1:1/x" },
-                  { "Kv-Hold", "h" },       { "Pin-Ms", "9000" },
-                  { "Kv-Backup", "x" },     { "Request-Priority", "0" } };
-  SendOnce(world, send);
+  // A caller sends another team's name and headers that control engines'
+  // memory. If forwarded, the request would be billed to that team, or reuse
+  // another request's memory.
+  PlatformHarness harness(22010);
+  auto& engine = harness.AddEngine("e1", "plain");
+  CallerMessage message = RequestTo("/look/1");
+  message.fields = { { "Tenant", "team-two" }, { "Kv-From", "10.0.0.1:1/x" },
+                     { "Kv-Hold", "h" },       { "Pin-Ms", "9000" },
+                     { "Kv-Backup", "x" },     { "Request-Priority", "0" } };
+  SendOnce(harness, message);
   REQUIRE(engine.receivedRequests.size() == 1);
   CHECK(engine.receivedRequests[0].Field("Tenant") == "team-one");
   for (const char* name : { "Kv-From", "Kv-Hold", "Pin-Ms", "Kv-Backup" }) {
@@ -77,128 +78,131 @@
 
 TEST_CASE("a non-idempotent request that may have run isn't resent")
 {
-  // The back end runs the booking and its answer is lost. Sent to the second
-  // back end it would dispatch two crews; so the caller is told that it failed,
-  // without any word that it has not run.
-  PlatformHarness world(22020);
-  auto& first = world.AddEngine("e1", "plain");
-  auto& second = world.AddEngine("e2", "plain");
+  // The back end runs the booking and its response is lost. Sent to the second
+  // back end the booking would run twice. So the caller gets an error that does
+  // not say that it has not run.
+  PlatformHarness harness(22020);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   first.scriptedResponses = { { Kind::eWrongAttempt } };
   second.scriptedResponses = { { Kind::eWrongAttempt } };
-  const CallerResponse seen = SendOnce(world, RequestTo("/book/1"));
-  CHECK(seen.status == 502);
-  CHECK(seen.retryAfter.empty());
+  const CallerResponse response = SendOnce(harness, RequestTo("/book/1"));
+  CHECK(response.status == 502);
+  CHECK(response.retryAfter.empty());
   CHECK(first.receivedRequests.size() + second.receivedRequests.size() == 1);
 }
 
 TEST_CASE("a rejected non-idempotent request is retried elsewhere")
 {
-  // The back end says that it did not run the booking, so the other one may.
-  PlatformHarness world(22030);
-  auto& first = world.AddEngine("e1", "plain");
-  auto& second = world.AddEngine("e2", "plain");
+  // The back end states that it did not run the booking, so the other one may.
+  PlatformHarness harness(22030);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   first.scriptedResponses = {
     { Kind::eReject }
-  }; // equally loaded, it is asked first
-  const CallerResponse seen = SendOnce(world, RequestTo("/book/1"));
-  CHECK(seen.status == 200);
-  CHECK(seen.seal == "seal-of-e2");
+  }; // at equal load it is chosen first
+  const CallerResponse response = SendOnce(harness, RequestTo("/book/1"));
+  CHECK(response.status == 200);
+  CHECK(response.seal == "seal-of-e2");
   CHECK(first.receivedRequests.size() == 1);
   CHECK(second.receivedRequests.size() == 1);
 }
 
 TEST_CASE("a request that all back ends reject is answered not-run")
 {
-  // Each back end is asked once; then the caller is told that the booking has
-  // not run, which is true, and when to return.
-  PlatformHarness world(22130);
-  auto& first = world.AddEngine("e1", "plain");
-  auto& second = world.AddEngine("e2", "plain");
+  // Each back end gets the request once. Then the response to the caller says
+  // that the booking has not run, which is true, and when to retry.
+  PlatformHarness harness(22130);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   first.scriptedResponses = { { Kind::eReject } };
   second.scriptedResponses = { { Kind::eReject } };
-  const CallerResponse refused = SendOnce(world, RequestTo("/book/1"));
-  CHECK(refused.status == 503);
-  CHECK_FALSE(refused.retryAfter.empty());
+  const CallerResponse rejected = SendOnce(harness, RequestTo("/book/1"));
+  CHECK(rejected.status == 503);
+  CHECK_FALSE(rejected.retryAfter.empty());
   CHECK(first.receivedRequests.size() == 1);
   CHECK(second.receivedRequests.size() == 1);
 }
 
 TEST_CASE("an idempotent request retries after a foreign answer")
 {
-  PlatformHarness world(22040);
-  auto& first = world.AddEngine("e1", "plain");
-  auto& second = world.AddEngine("e2", "plain");
+  PlatformHarness harness(22040);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   first.scriptedResponses = { { Kind::eWrongAttempt } };
   second.scriptedResponses = {};
-  const CallerResponse seen = SendOnce(world, RequestTo("/look/1"));
-  CHECK(seen.status == 200);
-  CHECK(seen.seal.starts_with("seal-of-e"));
+  const CallerResponse response = SendOnce(harness, RequestTo("/look/1"));
+  CHECK(response.status == 200);
+  CHECK(response.seal.starts_with("seal-of-e"));
 }
 
 TEST_CASE("an engine whose address was reused gets no requests")
 {
-  // The address of an engine that is gone belongs to another one, which says
-  // so. The request has not run; the old entry must not be tried again.
-  PlatformHarness world(22050);
-  auto& first = world.AddEngine("e1", "plain");
+  // The address of an engine that is gone now belongs to another one, which
+  // says so. The request has not run; the old entry must not be used again.
+  PlatformHarness harness(22050);
+  auto& first = harness.AddEngine("e1", "plain");
   first.scriptedResponses = { { Kind::eMisdirected } };
-  const CallerResponse seen = SendOnce(world, RequestTo("/book/1"));
-  CHECK(seen.status == 503);
-  const CallerResponse later = SendOnce(world, RequestTo("/book/2"));
-  CHECK(later.status == 503);
+  const CallerResponse response = SendOnce(harness, RequestTo("/book/1"));
+  CHECK(response.status == 503);
+  const CallerResponse secondResponse = SendOnce(harness, RequestTo("/book/2"));
+  CHECK(secondResponse.status == 503);
   CHECK(first.receivedRequests.size() == 1);
 }
 
 TEST_CASE("a resumable stream fails over without gap or repeat")
 {
-  // The first engine breaks off in the middle of the third event. The caller
-  // must not see the half event, and gets each event once, under the head and
-  // signature of the first engine.
-  PlatformHarness world(22060);
-  auto& first = world.AddEngine("e1", "model");
-  auto& second = world.AddEngine("e2", "model");
-  const standin::ScriptedResponse cut{ Kind::eDisconnectAfter, 2, true };
+  // The first engine's stream breaks off in the middle of the third event. The
+  // caller must not see the partial event, and gets each event once, under the
+  // first engine's response head and signature.
+  PlatformHarness harness(22060);
+  auto& first = harness.AddEngine("e1", "model");
+  auto& second = harness.AddEngine("e2", "model");
+  const standin::ScriptedResponse disconnect{ Kind::eDisconnectAfter, 2, true };
   first.scriptedResponses = {
-    cut
-  }; // equally loaded, the first one is asked first
-  const CallerResponse seen = SendOnce(world, RequestTo("/report/1"));
-  CHECK(seen.status == 200);
-  CHECK(seen.complete);
-  CHECK(seen.body == Events(0, 4));
+    disconnect
+  }; // at equal load the first one is chosen first
+  const CallerResponse response = SendOnce(harness, RequestTo("/report/1"));
+  CHECK(response.status == 200);
+  CHECK(response.complete);
+  CHECK(response.body == Events(0, 4));
   REQUIRE(first.receivedRequests.size() + second.receivedRequests.size() == 2);
-  const bool atFirst = first.receivedRequests[0].Field("Last-Event-Id").empty();
-  const auto& resumed = atFirst ? second : first;
+  const bool startedAtFirst =
+    first.receivedRequests[0].Field("Last-Event-Id").empty();
+  const auto& resumed = startedAtFirst ? second : first;
   CHECK(resumed.receivedRequests[0].Field("Last-Event-Id") == "1");
 }
 
 TEST_CASE("a broken non-resumable stream ends incomplete")
 {
-  PlatformHarness world(22070);
-  auto& engine = world.AddEngine("e1", "model");
-  world.AddEngine("e2", "model");
+  PlatformHarness harness(22070);
+  auto& engine = harness.AddEngine("e1", "model");
+  harness.AddEngine("e2", "model");
   engine.scriptedResponses = { { Kind::eDisconnectAfter, 2, true } };
-  world.state->backends.RecordFailure(InstanceId{ "e2" }, ServingState::Now());
-  world.state->backends.RecordFailure(InstanceId{ "e2" }, ServingState::Now());
-  const CallerResponse seen = SendOnce(world, RequestTo("/chat/1"));
-  CHECK(seen.status == 200);
-  CHECK_FALSE(seen.complete);
-  CHECK(seen.body == Events(0, 1));
+  harness.state->backends.RecordFailure(InstanceId{ "e2" },
+                                        ServingState::Now());
+  harness.state->backends.RecordFailure(InstanceId{ "e2" },
+                                        ServingState::Now());
+  const CallerResponse response = SendOnce(harness, RequestTo("/chat/1"));
+  CHECK(response.status == 200);
+  CHECK_FALSE(response.complete);
+  CHECK(response.body == Events(0, 1));
   CHECK(engine.receivedRequests.size() == 1);
 }
 
 TEST_CASE("a caller's disconnect closes the engine's connection")
 {
-  // The caller leaves while the engine works. The engine's connection must
-  // close, or it goes on working for nobody.
-  PlatformHarness world(22080);
-  auto& engine = world.AddEngine("e1", "plain");
+  // The caller disconnects while the engine works. The engine's connection must
+  // close, or the engine keeps working on a response that nobody reads.
+  PlatformHarness harness(22080);
+  auto& engine = harness.AddEngine("e1", "plain");
   engine.scriptedResponses = { { Kind::eHang } };
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    const auto& pool = aWorld.state->pool;
-    CallerMessage send;
-    send.path = "/book/1";
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    const auto& pool = aHarness.state->pool;
+    CallerMessage message;
+    message.path = "/book/1";
     auto abort = std::make_shared<AbortHandle>();
-    HttpRequest request = MakeRequest(http::verb::post, send.path, "{}");
+    HttpRequest request = MakeRequest(http::verb::post, message.path, "{}");
     request.set("Host", "service.example");
     request.set("Attempt-Id", "a1");
     request.set("Authorization", "Token key-one");
@@ -208,101 +212,104 @@
         aHandle->Abort();
       }(abort));
     const Endpoint callers(boost::asio::ip::address_v4::loopback(), 22082);
-    const auto call = co_await HttpExchange::Open(*pool.All().front(),
-                                                  callers,
-                                                  std::move(request),
-                                                  CallTimeouts{},
-                                                  true,
-                                                  abort);
-    CHECK_FALSE(call.has_value());
+    const auto exchange = co_await HttpExchange::Open(*pool.All().front(),
+                                                      callers,
+                                                      std::move(request),
+                                                      CallTimeouts{},
+                                                      true,
+                                                      abort);
+    CHECK_FALSE(exchange.has_value());
     co_await Sleep(std::chrono::milliseconds(100));
-  }(world));
+  }(harness));
   CHECK(engine.callerDisconnects == 1);
-  CHECK(world.state->backends.Find(InstanceId{ "e1" })->localLoad.running == 0);
+  CHECK(harness.state->backends.Find(InstanceId{ "e1" })->localLoad.running ==
+        0);
 }
 
 TEST_CASE("a daemon without a configuration answers not-run")
 {
-  PlatformHarness world(22090);
-  world.AddEngine("e1", "plain");
-  world.state->catalog = nullptr;
-  const CallerResponse seen = SendOnce(world, RequestTo("/book/1"));
-  CHECK(seen.status == 503);
-  CHECK_FALSE(seen.retryAfter.empty());
+  PlatformHarness harness(22090);
+  harness.AddEngine("e1", "plain");
+  harness.state->catalog = nullptr;
+  const CallerResponse response = SendOnce(harness, RequestTo("/book/1"));
+  CHECK(response.status == 503);
+  CHECK_FALSE(response.retryAfter.empty());
 }
 
 TEST_CASE("an unknown route gives 404, an unknown key 401")
 {
-  PlatformHarness world(22100);
-  world.AddEngine("e1", "plain");
-  CHECK(SendOnce(world, RequestTo("/nothing/1")).status == 404);
-  CallerMessage send = RequestTo("/book/1");
-  send.key = "key-two";
-  CHECK(SendOnce(world, send).status == 401);
+  PlatformHarness harness(22100);
+  harness.AddEngine("e1", "plain");
+  CHECK(SendOnce(harness, RequestTo("/nothing/1")).status == 404);
+  CallerMessage message = RequestTo("/book/1");
+  message.key = "key-two";
+  CHECK(SendOnce(harness, message).status == 401);
 }
 
 TEST_CASE("a request that crashed three engines is blocked")
 {
   // A request crashes every engine that runs it, and its caller sends it again.
-  // After the third crash it is answered at once, by every daemon that has
-  // heard of the crashes, and a fourth engine stays up.
-  PlatformHarness world(22120);
+  // After the third crash it is rejected at once, by every daemon that has
+  // received the crash facts, and a fourth engine stays up.
+  PlatformHarness harness(22120);
   for (const char* id : { "e1", "e2", "e3", "e4" }) {
-    world.AddEngine(id, "model")
+    harness.AddEngine(id, "model")
       .scriptedResponses.assign(
         1, standin::ScriptedResponse{ Kind::eDisconnectAfter, 0, false });
   }
   std::size_t crashes = 0;
   unsigned last = 0;
-  world.Run([](PlatformHarness& aWorld,
-               std::size_t& aCrashes,
-               unsigned& aLast) -> Task<void> {
+  harness.Run([](PlatformHarness& aHarness,
+                 std::size_t& aCrashes,
+                 unsigned& aLast) -> Task<void> {
     for (int i = 0; i < 8; ++i) {
-      CallerMessage send = RequestTo("/chat/bad");
-      send.attempt = "a" + std::to_string(i);
-      const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
-      aLast = seen.status;
+      CallerMessage message = RequestTo("/chat/bad");
+      message.attempt = "a" + std::to_string(i);
+      const CallerResponse response =
+        co_await aHarness.SendRequest(std::move(message));
+      aLast = response.status;
       for (const char* id : { "e1", "e2", "e3", "e4" }) {
-        Backend* backend = aWorld.state->backends.Find(InstanceId{ id });
+        Backend* backend = aHarness.state->backends.Find(InstanceId{ id });
         if (backend->consecutiveFailures > 0) {
           ++aCrashes;
-          aWorld.StopEngine(id);
-          aWorld.state->backends.RecordSuccess(InstanceId{ id });
-          aWorld.state->backends.MarkLeaving(InstanceId{ id });
-          // Its crash is looked into while its entry still stands.
+          aHarness.StopEngine(id);
+          aHarness.state->backends.RecordSuccess(InstanceId{ id });
+          aHarness.state->backends.MarkLeaving(InstanceId{ id });
+          // The crash probe runs while the entry is still there.
           backend->leaving = false;
           co_await Sleep(std::chrono::milliseconds(80));
           backend->leaving = true;
         }
       }
     }
-  }(world, crashes, last));
+  }(harness, crashes, last));
   CHECK(crashes == 3);
   CHECK(last == 502);
 }
 
-// All daemons start again at once, and each takes all retries for its own.
+// All daemons restart at once, and each would use the whole retry budget alone.
 TEST_CASE("listed but unheard daemons share the retry budget")
 {
-  PlatformHarness world(22680);
-  auto& one = world.AddEngine("e1", "plain");
-  auto& other = world.AddEngine("e2", "plain");
+  PlatformHarness harness(22680);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   constexpr int kListed = 20;
   for (int i = 0; i < kListed; ++i) {
-    world.state->limitShares.AddPeer(DaemonId{ "other-" + std::to_string(i) },
-                                     ServingState::Now());
+    harness.state->limitShares.AddPeer(DaemonId{ "other-" + std::to_string(i) },
+                                       ServingState::Now());
   }
-  one.scriptedResponses.assign(
+  first.scriptedResponses.assign(
     1, standin::ScriptedResponse{ Kind::eReject, 0, false });
-  other.scriptedResponses = one.scriptedResponses;
+  second.scriptedResponses = first.scriptedResponses;
   unsigned status = 0;
-  world.Run([](PlatformHarness& aWorld, unsigned& aStatus) -> Task<void> {
-    CallerMessage send;
-    const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
-    aStatus = seen.status;
-  }(world, status));
+  harness.Run([](PlatformHarness& aHarness, unsigned& aStatus) -> Task<void> {
+    CallerMessage message;
+    const CallerResponse response =
+      co_await aHarness.SendRequest(std::move(message));
+    aStatus = response.status;
+  }(harness, status));
   CHECK(status == 503);
-  CHECK(one.receivedRequests.size() + other.receivedRequests.size() == 1);
+  CHECK(first.receivedRequests.size() + second.receivedRequests.size() == 1);
 }
 
 } // namespace toucanshed::test
--- a/test/failure/StoreWatcherTest.cpp
+++ b/test/failure/StoreWatcherTest.cpp
@@ -11,368 +11,383 @@
 constexpr const char* kOperator = "keyed.op";
 constexpr const char* kServers = "keyed.servers";
 
-/** Long enough for a read that waits to be answered and the next to begin. */
+/** Waits long enough for a long poll to get its response and the next to begin.
+ */
 Task<void>
 Settle()
 {
   co_await Sleep(std::chrono::milliseconds(120));
 }
 
-/** As Settle, with time for the list's next read. */
+/** As Settle, with time for the next read of the list. */
 Task<void>
 WaitForListRead()
 {
   co_await Sleep(std::chrono::milliseconds(900));
 }
 
-/** So many other daemons are heard that this one does not read for all. */
+/** Adds heartbeats of other daemons, enough that this one is not a store
+ * reader. */
 void
 AddPeers(ServingState& aState, int aCount)
 {
   for (int i = 0; i < aCount; ++i) {
-    serving::DaemonHeartbeat other;
-    other.set_id("other-" + std::to_string(i));
-    other.set_life(1);
-    other.set_sequence(1);
-    aState.peers.ReceiveHeartbeat(other, ServingState::Now());
+    serving::DaemonHeartbeat second;
+    second.set_id("other-" + std::to_string(i));
+    second.set_life(1);
+    second.set_sequence(1);
+    aState.peers.ReceiveHeartbeat(second, ServingState::Now());
   }
 }
 
-/** Another daemon has read that an engine leaves. */
+/** Applies another daemon's report that an engine is leaving. */
 void
 ReportLeaving(ServingState& aState, const InstanceId& aId)
 {
-  serving::StoreReadReport word;
-  word.set_list_read(true);
-  auto* news = word.add_news();
-  news->set_key(aId.value);
-  news->set_position(8);
-  news->set_leaving(true);
-  ApplyStoreReadReport(aState, word);
+  serving::StoreReadReport report;
+  report.set_list_read(true);
+  auto* entry = report.add_news();
+  entry->set_key(aId.value);
+  entry->set_position(8);
+  entry->set_leaving(true);
+  ApplyStoreReadReport(aState, report);
 }
 
 } // namespace
 
 TEST_CASE("a configuration applies at once and never reverts")
 {
-  // An operator writes version 7, then an older one lands late. The daemon
-  // must stay at 7; going back would let a key that was taken away in again.
-  PlatformHarness world(22200);
-  world.state->catalog = nullptr;
+  // An operator writes version 7, then an older one arrives late. The daemon
+  // must stay at 7; going back would accept a key again that was revoked.
+  PlatformHarness harness(22200);
+  harness.state->catalog = nullptr;
   std::uint64_t first = 0;
   std::uint64_t afterOld = 0;
-  world.store.AppendKeyed(kOperator, "config", PlatformHarness::CatalogText(3));
-  world.Run([](PlatformHarness& aWorld,
-               std::uint64_t& aFirst,
-               std::uint64_t& aAfterOld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchOperatorTopic(*aWorld.state));
+  harness.store.AppendKeyed(
+    kOperator, "config", PlatformHarness::CatalogText(3));
+  harness.Run([](PlatformHarness& aHarness,
+                 std::uint64_t& aFirst,
+                 std::uint64_t& aAfterOld) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchOperatorTopic(*aHarness.state));
     co_await Settle();
-    aWorld.store.AppendKeyed(
+    aHarness.store.AppendKeyed(
       kOperator, "config", PlatformHarness::CatalogText(7));
     co_await Settle();
-    aFirst = aWorld.state->catalog->version;
-    aWorld.store.AppendKeyed(
+    aFirst = aHarness.state->catalog->version;
+    aHarness.store.AppendKeyed(
       kOperator, "config", PlatformHarness::CatalogText(5));
     co_await Settle();
-    aAfterOld = aWorld.state->catalog->version;
-  }(world, first, afterOld));
+    aAfterOld = aHarness.state->catalog->version;
+  }(harness, first, afterOld));
   CHECK(first == 7);
   CHECK(afterOld == 7);
 }
 
 TEST_CASE("a reader whose history was dropped reads a snapshot")
 {
-  PlatformHarness world(22210);
-  world.store.AppendKeyed(kOperator, "config", PlatformHarness::CatalogText(3));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchOperatorTopic(*aWorld.state));
+  PlatformHarness harness(22210);
+  harness.store.AppendKeyed(
+    kOperator, "config", PlatformHarness::CatalogText(3));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchOperatorTopic(*aHarness.state));
     co_await Settle();
-    aWorld.store.down = true;
+    aHarness.store.down = true;
     co_await Settle();
-    aWorld.store.AppendKeyed(
+    aHarness.store.AppendKeyed(
       kOperator, "config", PlatformHarness::CatalogText(9));
-    aWorld.store.DropHistory(kOperator);
-    aWorld.store.down = false;
+    aHarness.store.DropHistory(kOperator);
+    aHarness.store.down = false;
     co_await Sleep(std::chrono::milliseconds(500));
-  }(world));
-  CHECK(world.state->catalog->version == 9);
-  CHECK_FALSE(world.state->storeLostSince.has_value());
+  }(harness));
+  CHECK(harness.state->catalog->version == 9);
+  CHECK_FALSE(harness.state->storeLostSince.has_value());
 }
 
 TEST_CASE("an unreadable entry is skipped, the others apply")
 {
-  PlatformHarness world(22220);
-  world.AddEngine("e1", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.store.AppendKeyed(kServers, "odd", "{\"service\": 5");
-  world.store.AppendKeyed(
+  PlatformHarness harness(22220);
+  harness.AddEngine("e1", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.store.AppendKeyed(kServers, "odd", "{\"service\": 5");
+  harness.store.AppendKeyed(
     kServers, "odder", "{\"service\":\"plain\",\"slots\":\"x\"}");
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-  }(world));
-  CHECK(world.state->backends.All().size() == 1);
-  CHECK(world.state->backends.Find(InstanceId{ "e1" }) != nullptr);
+  }(harness));
+  CHECK(harness.state->backends.All().size() == 1);
+  CHECK(harness.state->backends.Find(InstanceId{ "e1" }) != nullptr);
 }
 
 TEST_CASE("a leaving engine gets no requests once that is read")
 {
-  PlatformHarness world(22230);
-  auto& leaving = world.AddEngine("e1", "plain");
-  world.AddEngine("e2", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.store.AppendKeyed(kServers, "e2", world.EntryOf("e2"));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  PlatformHarness harness(22230);
+  auto& leaving = harness.AddEngine("e1", "plain");
+  harness.AddEngine("e2", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.store.AppendKeyed(kServers, "e2", harness.EntryOf("e2"));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    aWorld.store.AppendKeyed(kServers, "e1", aWorld.EntryOf("e1", "draining"));
+    aHarness.store.AppendKeyed(
+      kServers, "e1", aHarness.EntryOf("e1", "draining"));
     co_await WaitForListRead();
-    const std::size_t served = co_await aWorld.SendRequests(8);
+    const std::size_t served = co_await aHarness.SendRequests(8);
     CHECK(served == 8);
-  }(world));
+  }(harness));
   CHECK(leaving.receivedRequests.empty());
 }
 
 TEST_CASE("a leaving engine is learned from another daemon")
 {
-  // Another daemon reads the list for all and says that the first engine
-  // leaves. This daemon's requests go elsewhere at once, without a call of its
-  // own; and an older record of that engine, late on its way, lists it no more.
-  PlatformHarness world(22250);
-  auto& leaving = world.AddEngine("e1", "plain");
-  auto& staying = world.AddEngine("e2", "plain");
-  serving::StoreReadReport word;
-  word.set_list_read(true);
-  auto* news = word.add_news();
-  news->set_key("e1");
-  news->set_position(8);
-  news->set_leaving(true);
-  ApplyStoreReadReport(*world.state, word);
-  news->set_position(5);
-  news->set_leaving(false);
-  news->set_value(world.EntryOf("e1"));
-  ApplyStoreReadReport(*world.state, word);
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    const std::size_t served = co_await aWorld.SendRequests(4);
+  // Another daemon reads the list for all and reports that the first engine is
+  // leaving. This daemon's requests go elsewhere at once, without a call of its
+  // own to the store. An older record of that engine, delayed on its way, does
+  // not list it again.
+  PlatformHarness harness(22250);
+  auto& leaving = harness.AddEngine("e1", "plain");
+  auto& staying = harness.AddEngine("e2", "plain");
+  serving::StoreReadReport report;
+  report.set_list_read(true);
+  auto* entry = report.add_news();
+  entry->set_key("e1");
+  entry->set_position(8);
+  entry->set_leaving(true);
+  ApplyStoreReadReport(*harness.state, report);
+  entry->set_position(5);
+  entry->set_leaving(false);
+  entry->set_value(harness.EntryOf("e1"));
+  ApplyStoreReadReport(*harness.state, report);
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    const std::size_t served = co_await aHarness.SendRequests(4);
     CHECK(served == 4);
-  }(world));
+  }(harness));
   CHECK(leaving.receivedRequests.empty());
   CHECK(staying.receivedRequests.size() == 4);
-  CHECK(world.store.reads == 0);
+  CHECK(harness.store.reads == 0);
 }
 
 TEST_CASE("a daemon whose list digest differs reads the list")
 {
-  // Two daemons read for all; their datagrams to this one are lost but for the
-  // last, which says what their list comes to. It is not what is here, so the
-  // list is read, and the engine that has left gets nothing more.
-  PlatformHarness world(22260);
-  world.AddEngine("e1", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
+  // Two daemons read for all. Their datagrams to this one are lost except the
+  // last, which has the digest of their list. It differs from the digest here,
+  // so this daemon reads the list, and the engine that has left gets no more
+  // requests.
+  PlatformHarness harness(22260);
+  harness.AddEngine("e1", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
   std::size_t before = 0;
   std::size_t after = 0;
-  world.Run([](PlatformHarness& aWorld,
-               std::size_t& aBefore,
-               std::size_t& aAfter) -> Task<void> {
-    constexpr int kOthers = 20; // enough that two of them go before this one
-    AddPeers(*aWorld.state, kOthers);
-    REQUIRE_FALSE(aWorld.state->IsStoreReader());
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  harness.Run([](PlatformHarness& aHarness,
+                 std::size_t& aBefore,
+                 std::size_t& aAfter) -> Task<void> {
+    constexpr int kOthers = 20; // enough that two of them rank before this one
+    AddPeers(*aHarness.state, kOthers);
+    REQUIRE_FALSE(aHarness.state->IsStoreReader());
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
-    aBefore = aWorld.store.reads;
-    serving::StoreReadReport word;
-    word.set_list_read(true);
-    word.set_list_digest(BackendTable().Digest());
-    ApplyStoreReadReport(*aWorld.state, word);
+    aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
+    aBefore = aHarness.store.reads;
+    serving::StoreReadReport report;
+    report.set_list_read(true);
+    report.set_list_digest(BackendTable().Digest());
+    ApplyStoreReadReport(*aHarness.state, report);
     co_await Settle();
-    aAfter = aWorld.store.reads;
-  }(world, before, after));
+    aAfter = aHarness.store.reads;
+  }(harness, before, after));
   CHECK(after == before + 1);
-  CHECK(world.state->backends.All().empty());
+  CHECK(harness.state->backends.All().empty());
 }
 
-// A request placed just before the word that its engine leaves goes there.
+// A request placed just before the report that its engine is leaving goes
+// there.
 TEST_CASE("a request is rerouted if its engine leaves on connect")
 {
-  PlatformHarness world(22620);
-  auto& one = world.AddEngine("e1", "plain");
-  auto& other = world.AddEngine("e2", "plain");
+  PlatformHarness harness(22620);
+  auto& first = harness.AddEngine("e1", "plain");
+  auto& second = harness.AddEngine("e2", "plain");
   std::string chosen;
-  world.state->sendPromptNotice =
+  harness.state->sendPromptNotice =
     [&](const InstanceId& aId, auto, const auto&) {
       if (chosen.empty()) {
         chosen = aId.value;
-        ReportLeaving(*world.state, aId);
+        ReportLeaving(*harness.state, aId);
       }
     };
   unsigned status = 0;
-  world.Run([](PlatformHarness& aWorld, unsigned& aStatus) -> Task<void> {
-    CallerMessage send;
-    const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
-    aStatus = seen.status;
-  }(world, status));
+  harness.Run([](PlatformHarness& aHarness, unsigned& aStatus) -> Task<void> {
+    CallerMessage message;
+    const CallerResponse response =
+      co_await aHarness.SendRequest(std::move(message));
+    aStatus = response.status;
+  }(harness, status));
   CHECK(status == 200);
-  CHECK(one.receivedRequests.size() == (chosen == "e1" ? 0 : 1));
-  CHECK(other.receivedRequests.size() == (chosen == "e2" ? 0 : 1));
+  CHECK(first.receivedRequests.size() == (chosen == "e1" ? 0 : 1));
+  CHECK(second.receivedRequests.size() == (chosen == "e2" ? 0 : 1));
 }
 
-// Among hundreds a daemon whose read failed once waits for seconds.
+// With hundreds of daemons, one whose read failed once waits for seconds.
 TEST_CASE("a failed list read is retried soon among 295 daemons")
 {
   constexpr int kOthers = 294;
-  PlatformHarness world(22600);
-  world.AddEngine("e1", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  PlatformHarness harness(22600);
+  harness.AddEngine("e1", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    AddPeers(*aWorld.state, kOthers);
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
-    aWorld.store.down = true;
-    serving::StoreReadReport word;
-    word.set_list_read(true);
-    word.set_list_digest(BackendTable().Digest());
-    ApplyStoreReadReport(*aWorld.state, word);
-    while (!aWorld.state->storeLostSince) {
+    AddPeers(*aHarness.state, kOthers);
+    aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
+    aHarness.store.down = true;
+    serving::StoreReadReport report;
+    report.set_list_read(true);
+    report.set_list_digest(BackendTable().Digest());
+    ApplyStoreReadReport(*aHarness.state, report);
+    while (!aHarness.state->storeLostSince) {
       co_await Sleep(std::chrono::milliseconds(5));
     }
-    aWorld.store.down = false;
+    aHarness.store.down = false;
     co_await WaitForListRead();
-  }(world));
-  CHECK(world.state->backends.All().empty());
+  }(harness));
+  CHECK(harness.state->backends.All().empty());
 }
 
-// Among hundreds a dropped history delays the configuration by seconds.
+// With hundreds of daemons, a dropped history delays the configuration by
+// seconds.
 TEST_CASE("a topic with dropped history is reread at once")
 {
   constexpr int kOthers = 294;
-  PlatformHarness world(22610);
-  world.store.AppendKeyed(kOperator, "config", PlatformHarness::CatalogText(3));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    AddPeers(*aWorld.state, kOthers);
-    aWorld.state->pool.First().Spawn(WatchOperatorTopic(*aWorld.state));
+  PlatformHarness harness(22610);
+  harness.store.AppendKeyed(
+    kOperator, "config", PlatformHarness::CatalogText(3));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    AddPeers(*aHarness.state, kOthers);
+    aHarness.state->pool.First().Spawn(WatchOperatorTopic(*aHarness.state));
     co_await Settle();
-    aWorld.store.AppendKeyed(
+    aHarness.store.AppendKeyed(
       kOperator, "config", PlatformHarness::CatalogText(9));
-    aWorld.store.DropHistory(kOperator);
-    serving::StoreReadReport word;
-    word.set_operator_end(2);
-    const std::size_t before = aWorld.store.reads;
-    ApplyStoreReadReport(*aWorld.state, word);
-    while (aWorld.store.reads == before) {
+    aHarness.store.DropHistory(kOperator);
+    serving::StoreReadReport report;
+    report.set_operator_end(2);
+    const std::size_t before = aHarness.store.reads;
+    ApplyStoreReadReport(*aHarness.state, report);
+    while (aHarness.store.reads == before) {
       co_await Sleep(std::chrono::milliseconds(5));
     }
-    co_await Sleep(std::chrono::milliseconds(100)); // no pause fits in
-  }(world));
-  CHECK(world.state->catalog->version == 9);
+    co_await Sleep(
+      std::chrono::milliseconds(100)); // too short for a retry delay
+  }(harness));
+  CHECK(harness.state->catalog->version == 9);
 }
 
-// One failed call is taken for an outage, and a leaving engine for a lapsed
-// one.
+// One failed call is taken for an outage, and the entry of an engine that left
+// for one that expired in it.
 TEST_CASE("one failed store call does not keep a departed engine")
 {
-  PlatformHarness world(22290);
-  auto& leaving = world.AddEngine("e1", "plain");
-  auto& staying = world.AddEngine("e2", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.store.AppendKeyed(kServers, "e2", world.EntryOf("e2"));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  PlatformHarness harness(22290);
+  auto& leaving = harness.AddEngine("e1", "plain");
+  auto& staying = harness.AddEngine("e2", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.store.AppendKeyed(kServers, "e2", harness.EntryOf("e2"));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    aWorld.store.down = true;
-    while (!aWorld.state->storeLostSince) {
+    aHarness.store.down = true;
+    while (!aHarness.state->storeLostSince) {
       co_await Sleep(std::chrono::milliseconds(5));
     }
-    aWorld.store.down = false;
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
+    aHarness.store.down = false;
+    aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
     co_await WaitForListRead();
-    const std::size_t served = co_await aWorld.SendRequests(8);
+    const std::size_t served = co_await aHarness.SendRequests(8);
     CHECK(served == 8);
-  }(world));
+  }(harness));
   CHECK(leaving.receivedRequests.empty());
   CHECK(staying.receivedRequests.size() == 8);
 }
 
-// A reader that lags takes the first of many records for the whole news.
+// A reader that lags takes the first of many records for all that are new.
 TEST_CASE("a partly read list does not count as current")
 {
-  PlatformHarness world(22280);
-  auto& leaving = world.AddEngine("e1", "plain");
-  auto& staying = world.AddEngine("e2", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.store.AppendKeyed(kServers, "e2", world.EntryOf("e2"));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  PlatformHarness harness(22280);
+  auto& leaving = harness.AddEngine("e1", "plain");
+  auto& staying = harness.AddEngine("e2", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.store.AppendKeyed(kServers, "e2", harness.EntryOf("e2"));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    aWorld.store.maxRecordsPerRead = 4;
+    aHarness.store.maxRecordsPerRead = 4;
     constexpr int kRenewals = 30;
     for (int i = 0; i < kRenewals; ++i) {
-      aWorld.store.AppendKeyed(kServers, "e2", aWorld.EntryOf("e2"));
+      aHarness.store.AppendKeyed(kServers, "e2", aHarness.EntryOf("e2"));
     }
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
+    aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
     co_await WaitForListRead();
-    const std::size_t served = co_await aWorld.SendRequests(8);
+    const std::size_t served = co_await aHarness.SendRequests(8);
     CHECK(served == 8);
-  }(world));
+  }(harness));
   CHECK(leaving.receivedRequests.empty());
   CHECK(staying.receivedRequests.size() == 8);
 }
 
 TEST_CASE("engines whose entries expired in an outage stay in use")
 {
-  // The store is away and drops the entries of engines that could not reach
-  // it. They live; within two seconds of its return they are listed again.
-  // Until then requests go on to them instead of being refused.
-  PlatformHarness world(22240);
-  world.AddEngine("e1", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.state->storeOutage = StoreOutage(Millis(300));
-  unsigned during = 0;
-  world.Run([](PlatformHarness& aWorld, unsigned& aDuring) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
-    co_await Settle();
-    aWorld.store.down = true;
-    co_await WaitForListRead();
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
-    aWorld.store.down = false;
-    co_await Sleep(std::chrono::milliseconds(400));
-    CallerMessage send;
-    const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
-    aDuring = seen.status;
-  }(world, during));
-  CHECK(during == 200);
-  const Backend* kept = world.state->backends.Find(InstanceId{ "e1" });
-  REQUIRE(kept != nullptr);
-  // Not listed again in time, it is taken as gone.
-  world.state->backends.Expire(ServingState::Now() + StoreOutage::kRelistGrace);
-  CHECK(world.state->backends.All().empty());
+  // The store is down and drops the entries of engines that could not reach it.
+  // They still run, and are listed again within two seconds of its return.
+  // Until then requests are still sent to them instead of being rejected.
+  PlatformHarness harness(22240);
+  harness.AddEngine("e1", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.state->storeOutage = StoreOutage(Millis(300));
+  unsigned outageStatus = 0;
+  harness.Run(
+    [](PlatformHarness& aHarness, unsigned& aOutageStatus) -> Task<void> {
+      aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
+      co_await Settle();
+      aHarness.store.down = true;
+      co_await WaitForListRead();
+      aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
+      aHarness.store.down = false;
+      co_await Sleep(std::chrono::milliseconds(400));
+      CallerMessage message;
+      const CallerResponse response =
+        co_await aHarness.SendRequest(std::move(message));
+      aOutageStatus = response.status;
+    }(harness, outageStatus));
+  CHECK(outageStatus == 200);
+  const Backend* backend = harness.state->backends.Find(InstanceId{ "e1" });
+  REQUIRE(backend != nullptr);
+  // An engine that is not listed again in time is removed.
+  harness.state->backends.Expire(ServingState::Now() +
+                                 StoreOutage::kRelistGrace);
+  CHECK(harness.state->backends.All().empty());
 }
 
 TEST_CASE("another daemon's store outage keeps no departed engine")
 {
-  // The store turned one daemon away and served this one all along. The other,
-  // of an earlier release, tells its return; the engine that leaves right after
-  // it has not lapsed.
-  PlatformHarness world(22270);
-  auto& leaving = world.AddEngine("e1", "plain");
-  auto& staying = world.AddEngine("e2", "plain");
-  world.store.AppendKeyed(kServers, "e1", world.EntryOf("e1"));
-  world.store.AppendKeyed(kServers, "e2", world.EntryOf("e2"));
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
-    aWorld.state->pool.First().Spawn(WatchBackendList(*aWorld.state));
+  // The store rejected one daemon and served this one all along. The other
+  // daemon, of an earlier release, reports the store's return. The engine that
+  // leaves right after it has not expired in an outage.
+  PlatformHarness harness(22270);
+  auto& leaving = harness.AddEngine("e1", "plain");
+  auto& staying = harness.AddEngine("e2", "plain");
+  harness.store.AppendKeyed(kServers, "e1", harness.EntryOf("e1"));
+  harness.store.AppendKeyed(kServers, "e2", harness.EntryOf("e2"));
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
+    aHarness.state->pool.First().Spawn(WatchBackendList(*aHarness.state));
     co_await Settle();
-    serving::StoreReadReport word;
+    serving::StoreReadReport report;
     constexpr int kStoreReturnedMs = 8;
     serving::StoreReadReport::GetReflection()
-      ->MutableUnknownFields(&word)
+      ->MutableUnknownFields(&report)
       ->AddVarint(kStoreReturnedMs, 1);
-    ApplyStoreReadReport(*aWorld.state, word);
-    aWorld.store.AppendKeyed(kServers, "e1", std::nullopt);
+    ApplyStoreReadReport(*aHarness.state, report);
+    aHarness.store.AppendKeyed(kServers, "e1", std::nullopt);
     co_await WaitForListRead();
-    const std::size_t served = co_await aWorld.SendRequests(8);
+    const std::size_t served = co_await aHarness.SendRequests(8);
     CHECK(served == 8);
-  }(world));
+  }(harness));
   CHECK(leaving.receivedRequests.empty());
   CHECK(staying.receivedRequests.size() == 8);
 }
