--- a/src/serve/BackendList.cpp
+++ b/src/serve/BackendList.cpp
@@ -53,13 +53,13 @@
   // current.
   const TimePoint listed = aState.listFreshness.AsOf().value_or(TimePoint{});
   aState.backends.Remove(aId, aState.storeOutage.GraceUntil(listed, now));
-  const Backend* kept = aState.backends.Find(aId);
-  if (kept == nullptr) {
+  const Backend* retained = aState.backends.Find(aId);
+  if (retained == nullptr) {
     aState.engineLimits.Forget(aId);
   } else {
     aState.log.Emit(Event("backend.kept")
                       .With("backend", aId)
-                      .With("for_ms", (*kept->graceUntil - now).count())
+                      .With("for_ms", (*retained->graceUntil - now).count())
                       .With("copy_ms_old", (now - listed).count()));
   }
 }
@@ -70,9 +70,9 @@
              Position aPosition,
              const BackendListRead& aRead)
 {
-  const bool known = aState.backends.Find(aId) != nullptr;
+  const bool existed = aState.backends.Find(aId) != nullptr;
   RemoveBackend(aState, aId, aPosition, aRead);
-  return known;
+  return existed;
 }
 
 } // namespace
@@ -91,26 +91,26 @@
   if (!aRecord.value) {
     return ApplyRemoval(aState, id, aRecord.position, aRead);
   }
-  const Backend* known = aState.backends.Find(id);
+  const Backend* current = aState.backends.Find(id);
   auto entry = aState.wire.records.backend(aRecord.key, *aRecord.value);
   if (!entry) {
     aState.log.Emit(Event("backend.unreadable")
                       .With("backend", id)
                       .With("reason", entry.error().message));
-    const bool used = known != nullptr && !known->entry.leaving;
+    const bool used = current != nullptr && !current->entry.leaving;
     aState.backends.MarkEntryUnusable(id);
     return used;
   }
-  const bool same = known != nullptr && known->entry == *entry &&
-                    !known->graceUntil.has_value();
-  const bool isNew = known == nullptr;
-  const bool isBack = !isNew && known->graceUntil.has_value();
+  const bool unchanged = current != nullptr && current->entry == *entry &&
+                         !current->graceUntil.has_value();
+  const bool isNew = current == nullptr;
+  const bool isBack = !isNew && current->graceUntil.has_value();
   const bool restarted =
-    !isNew && known->entry.incarnation != entry->incarnation;
+    !isNew && current->entry.incarnation != entry->incarnation;
   if (restarted) {
     aState.engineLimits.Forget(id);
   }
-  const bool leaves = entry->leaving && (isNew || !known->entry.leaving);
+  const bool leaves = entry->leaving && (isNew || !current->entry.leaving);
   aState.backends.Put(*entry);
   if (isNew || leaves || isBack) {
     LogBackendChange(aState,
@@ -119,7 +119,7 @@
                      aRecord.position,
                      aRead);
   }
-  return !same;
+  return !unchanged;
 }
 
 void
@@ -128,11 +128,11 @@
              Position aPosition,
              const BackendListRead& aRead)
 {
-  const Backend* known = aState.backends.Find(aId);
+  const Backend* backend = aState.backends.Find(aId);
   const bool changed = aState.listRevisions.TryAdvance(aId.value, aPosition) &&
-                       known != nullptr && !known->entry.leaving;
+                       backend != nullptr && !backend->entry.leaving;
   if (changed) {
-    LogBackendChange(aState, *known, "leaving", aPosition, aRead);
+    LogBackendChange(aState, *backend, "leaving", aPosition, aRead);
     aState.backends.MarkEntryUnusable(aId);
   }
 }
--- a/src/serve/DutyRunner.cpp
+++ b/src/serve/DutyRunner.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Millis kPollInterval{ 250 };
-/** At start-up a daemon polls for the member list at most so many times, at
- * this interval. */
+/** At start-up a daemon waits for the list of members, with at most this many
+ * polls at this interval. */
 constexpr int kMembersMaxPolls = 8;
 constexpr Millis kMembersPollInterval{ 25 };
 /** Wait beyond the lease before a superseded daemon claims again: two daemons
--- a/src/serve/PeerMessenger.cpp
+++ b/src/serve/PeerMessenger.cpp
@@ -54,9 +54,9 @@
   boost::system::error_code error;
   const auto address =
     net::ip::make_address(this->state.settings.address, error);
-  const udp::endpoint own(address, this->state.settings.peerPort);
-  this->socket.open(own.protocol(), error);
-  this->socket.bind(own, error);
+  const udp::endpoint localEndpoint(address, this->state.settings.peerPort);
+  this->socket.open(localEndpoint.protocol(), error);
+  this->socket.bind(localEndpoint, error);
   this->socket.non_blocking(true, error);
   if (error) {
     return Fail(ErrorCode::eUnavailable,
@@ -375,12 +375,12 @@
 Task<void>
 PeerMessenger::SyncMembers()
 {
-  serving::MemberRecord own;
-  own.set_id(this->state.settings.id.value);
-  own.set_life(this->state.incarnation);
-  own.set_address(PeerAddress(this->state));
+  serving::MemberRecord ownMember;
+  ownMember.set_id(this->state.settings.id.value);
+  ownMember.set_life(this->state.incarnation);
+  ownMember.set_address(PeerAddress(this->state));
   const std::string record = this->state.wire.store.keyedRecord(
-    this->state.settings.id.value, own.SerializeAsString());
+    this->state.settings.id.value, ownMember.SerializeAsString());
   bool registered = false;
   bool quotasRequested = false;
   while (true) {
