--- a/src/serve/DutyRunner.cpp
+++ b/src/serve/DutyRunner.cpp
@@ -22,8 +22,8 @@
 constexpr Millis kLeaseMargin{ 300 };
 /** A holder that does not reach the store for this long steps down: it can
  * record nothing and so may do nothing, and others may reach the store. If it
- * kept the duties, engines that are reclaimed meanwhile would not be reordered.
- */
+ * kept the duties, no replacement would be ordered for engines that are
+ * reclaimed meanwhile. */
 constexpr Millis kMaxStoreOutage{ 1000 };
 /** Each candidate waits this much longer than the one before it in the order of
  * ids, so that only one claims. The store would refuse the others, but each
--- a/src/serve/DutyRunner.h
+++ b/src/serve/DutyRunner.h
@@ -103,7 +103,7 @@
   TimePoint confirmedAt; // by bootTime
   DutyLog dutyLog;
   ScalePlanner planner;
-  bool logRead = false;            // the records were read up to their end
+  bool logRead = false;            // the records were read from their start
   bool initialReadSkipped = false; // the read at start-up was left out
   bool holderSeen = false;         // some daemon has held the duties
   TimePoint holderReportedAt; // when another daemon was last reported as holder
--- a/src/serve/RequestForwarder.h
+++ b/src/serve/RequestForwarder.h
@@ -62,8 +62,8 @@
   [[nodiscard]] bool TakeSendAttempt();
   Task<SendOutcome> SendToBackend(Placement aPlacement);
   /** Whether a chosen back end may still be sent to, once there is a connection
-   * to it. Takes the send from its rate limit if it has reported one meanwhile.
-   */
+   * to it. Counts the send against its rate limit if it has reported one
+   * meanwhile. */
   [[nodiscard]] bool ConfirmSend(const InstanceId& aBackend);
   Task<SendOutcome> Relay(HttpExchange& aExchange, const Placement& aPlacement);
   Task<SendOutcome> RelayStream(HttpExchange& aExchange,
