--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -24,15 +24,15 @@
 Quoted(std::string_view aValue)
 {
   std::string text = "\"";
-  for (const char letter : aValue) {
-    if (letter == '\n' || letter == '\r' || letter == '\t') {
+  for (const char character : aValue) {
+    if (character == '\n' || character == '\r' || character == '\t') {
       text += ' ';
       continue;
     }
-    if (letter == '"' || letter == '\\') {
+    if (character == '"' || character == '\\') {
       text += '\\';
     }
-    text += letter;
+    text += character;
   }
   return text + "\"";
 }
@@ -63,9 +63,9 @@
 void
 EventLog::Emit(const Event& aEvent)
 {
-  const HybridTimestamp stamp = this->clock.Next(this->now());
-  std::string line = "at=" + ToText(stamp) + " process=" + this->processName +
-                     " " + aEvent.Text();
+  const HybridTimestamp timestamp = this->clock.Next(this->now());
+  std::string line = "at=" + ToText(timestamp) +
+                     " process=" + this->processName + " " + aEvent.Text();
   BOOST_LOG_TRIVIAL(info) << line;
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->lines.push_back(std::move(line));
@@ -81,8 +81,8 @@
   const std::lock_guard<std::mutex> lock(this->mutex);
   Page page;
   page.latestNumber = this->latestNumber;
-  const std::uint64_t oldest = this->latestNumber - this->lines.size();
-  const std::uint64_t skip = aAfter > oldest ? aAfter - oldest : 0;
+  const std::uint64_t dropped = this->latestNumber - this->lines.size();
+  const std::uint64_t skip = aAfter > dropped ? aAfter - dropped : 0;
   for (std::uint64_t i = skip; i < this->lines.size(); ++i) {
     page.lines.push_back(this->lines[i]);
   }
@@ -91,7 +91,7 @@
 
 namespace {
 
-/** Hands formatted records to a LogWriter. */
+/** Passes formatted records to a LogWriter. */
 class LineSink
   : public boost::log::sinks::
       basic_formatted_sink_backend<char, boost::log::sinks::concurrent_feeding>
@@ -102,7 +102,7 @@
   {
   }
 
-  // The name is the library's.
+  // Boost.Log prescribes the name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   void consume(const boost::log::record_view& /*aRecord*/,
                const string_type& aLine)
@@ -125,9 +125,9 @@
   sink->set_formatter(logging::expressions::stream
                       << logging::expressions::smessage);
   logging::core::get()->add_sink(sink);
-  const auto least =
+  const auto minSeverity =
     aLevel == "error" ? logging::trivial::error : logging::trivial::info;
-  logging::core::get()->set_filter(logging::trivial::severity >= least);
+  logging::core::get()->set_filter(logging::trivial::severity >= minSeverity);
 }
 
 } // namespace toucanshed
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -1,6 +1,6 @@
 /** \file
- * The process's events: one key=value line each, written through Boost.Log
- * and kept in memory for the operator port.
+ * The event log of the process: one line of key=value pairs per event, written
+ * through Boost.Log and kept in memory for the operator port.
  */
 #pragma once
 
@@ -19,8 +19,8 @@
 class LogWriter;
 
 /**
- * One event under construction. Values with spaces, quotes or line ends are
- * quoted, so a line always splits back into its pairs.
+ * Builds one event. Values that are empty or contain white space, quotes or '='
+ * are quoted, so that a line can always be split into its pairs.
  *
  * \code
  * log.Emit(Event("request.completed").With("request", id).With("ms", 12));
@@ -57,14 +57,14 @@
 class EventLog
 {
 public:
-  /** \param aProcess named in each line.
-   *  \param aNow wall clock hook. */
+  /** \param aProcess name of the process, added to each line.
+   *  \param aNow returns the wall-clock time. */
   EventLog(std::string aProcess, std::function<TimePoint()> aNow);
 
   void Emit(const Event& aEvent);
 
-  /** Lines numbered above aAfter, oldest first, and the newest number. Lines
-   * beyond the newest kKept are gone. */
+  /** Lines with a number above aAfter, oldest first, and the latest number.
+   * Only the latest kMaxLines lines are available. */
   struct Page
   {
     std::uint64_t latestNumber = 0;
@@ -74,7 +74,7 @@
 
   HybridClock& Clock() { return this->clock; }
 
-  /** How many lines are kept in memory. */
+  /** Number of lines kept in memory. */
   static constexpr std::size_t kMaxLines = 8000;
 
 private:
@@ -86,7 +86,8 @@
   std::uint64_t latestNumber = 0;
 };
 
-/** Sends Boost.Log output to a writer as bare lines.
+/** Sends Boost.Log output to a writer, one line per record without a prefix.
+ * \param aLevel "error" logs errors only; any other value also logs events.
  * Precondition: called once, before the first event; aWriter outlives all
  * logging. */
 void
--- a/src/base/Guarded.h
+++ b/src/base/Guarded.h
@@ -1,5 +1,5 @@
 /** \file
- * A shared table behind a mutex with a stated place in the lock order.
+ * A shared table with a mutex that has a rank in the lock order.
  */
 #pragma once
 
@@ -10,8 +10,9 @@
 
 namespace toucanshed {
 
-/** Tables in the order in which their locks may be taken. A thread that holds
- * a lock may only take one with a higher rank, so no two can deadlock. */
+/** The tables in the order in which their locks may be acquired. A thread that
+ * holds a lock may only acquire locks with a higher rank, so that threads can't
+ * deadlock. */
 enum class LockRank
 {
   eControl = 1,
@@ -26,22 +27,23 @@
 };
 
 namespace Internal {
-/** Rank of the lock this thread took last; 0 when it holds none. */
+/** Rank of the lock that this thread acquired last; 0 if it holds none. */
 inline thread_local int sHeldLockRank = 0;
 } // namespace Internal
 
 /**
- * Owns a T and lends it out under its lock.
+ * Owns a T and gives access to it under a mutex.
  *
  * \code
  * Guarded<Router, LockRank::eRouter> router;
- * auto choice = router.With([&](Router& aRouter) { return aRouter.Pick(); });
+ * auto choice = router.WithLock(
+ *   [&](Router& aRouter) { return aRouter.Pick(route, now); });
  * \endcode
  *
- * Thread safety: With may be called from any thread. Precondition: the caller
- * holds no lock of the same or a higher rank; breaking that stops the process,
- * because the deadlock it risks would show only once in a while. The function
- * given must not block or suspend.
+ * Thread safety: WithLock may be called from any thread. Precondition: the
+ * caller holds no lock of the same or a higher rank. A violation aborts the
+ * process, because the possible deadlock would occur only occasionally. The
+ * function must not block or suspend.
  */
 template<typename T, LockRank kRank>
 class Guarded
@@ -54,11 +56,11 @@
   }
 
   template<typename F>
-  decltype(auto) WithLock(F&& aUse)
+  decltype(auto) WithLock(F&& aFunction)
   {
     const RankScope scope;
     const std::lock_guard<std::mutex> lock(this->mutex);
-    return std::forward<F>(aUse)(this->table);
+    return std::forward<F>(aFunction)(this->table);
   }
 
 private:
@@ -69,7 +71,7 @@
     RankScope()
     {
       Invariant(this->previous < static_cast<int>(kRank),
-                "locks are taken in the order of LockRank");
+                "locks are acquired in the order of LockRank");
       Internal::sHeldLockRank = static_cast<int>(kRank);
     }
     ~RankScope() { Internal::sHeldLockRank = this->previous; }
--- a/src/base/Hash.cpp
+++ b/src/base/Hash.cpp
@@ -15,8 +15,8 @@
 std::uint64_t
 CombineHashes(std::uint64_t aFirst, std::uint64_t aSecond)
 {
-  const std::array<std::uint64_t, 2> both{ aFirst, aSecond };
-  return XXH64(both.data(), sizeof(both), 0);
+  const std::array<std::uint64_t, 2> pair{ aFirst, aSecond };
+  return XXH64(pair.data(), sizeof(pair), 0);
 }
 
 std::string
@@ -39,18 +39,18 @@
 RendezvousOwner(std::string_view aKey, const std::vector<std::string>& aNames)
 {
   const std::uint64_t key = Hash64(aKey);
-  const std::string* best = nullptr;
-  std::uint64_t bestScore = 0;
+  const std::string* owner = nullptr;
+  std::uint64_t highestScore = 0;
   for (const std::string& name : aNames) {
     const std::uint64_t score = Hash64(name, key);
-    const bool wins = best == nullptr || score > bestScore ||
-                      (score == bestScore && name < *best);
+    const bool wins = owner == nullptr || score > highestScore ||
+                      (score == highestScore && name < *owner);
     if (wins) {
-      best = &name;
-      bestScore = score;
+      owner = &name;
+      highestScore = score;
     }
   }
-  return best == nullptr ? std::string{} : *best;
+  return owner == nullptr ? std::string{} : *owner;
 }
 
 } // namespace toucanshed
--- a/src/base/Hash.h
+++ b/src/base/Hash.h
@@ -1,5 +1,5 @@
 /** \file
- * Stable hashes: the same on every daemon and across restarts.
+ * Stable hashes: they are the same on all daemons and across restarts.
  */
 #pragma once
 
@@ -22,8 +22,9 @@
 std::string
 Sha256Hex(std::string_view aText);
 
-/** The member of aNames with the highest hash together with aKey; the others
- * keep their keys when one leaves. Empty when aNames is empty. */
+/** Selects the owner of aKey by rendezvous hashing: the name whose hash
+ * together with aKey is the highest. If a name is removed, only its own keys
+ * get another owner. Empty if aNames is empty. */
 std::string
 RendezvousOwner(std::string_view aKey, const std::vector<std::string>& aNames);
 
--- a/src/base/HybridClock.cpp
+++ b/src/base/HybridClock.cpp
@@ -11,22 +11,23 @@
 }
 
 std::string
-ToText(HybridTimestamp aStamp)
+ToText(HybridTimestamp aTimestamp)
 {
   std::array<char, 32> text{};
-  std::snprintf(text.data(),
-                text.size(),
-                "%013llu.%05llu",
-                static_cast<unsigned long long>(aStamp.packed >> kCounterBits),
-                static_cast<unsigned long long>(aStamp.packed & 0xffffU));
+  std::snprintf(
+    text.data(),
+    text.size(),
+    "%013llu.%05llu",
+    static_cast<unsigned long long>(aTimestamp.packed >> kCounterBits),
+    static_cast<unsigned long long>(aTimestamp.packed & 0xffffU));
   return text.data();
 }
 
 HybridTimestamp
-HybridClock::Next(TimePoint aWall)
+HybridClock::Next(TimePoint aWallTime)
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  const auto wall = static_cast<std::uint64_t>(aWall.ms) << kCounterBits;
+  const auto wall = static_cast<std::uint64_t>(aWallTime.ms) << kCounterBits;
   this->last = std::max(wall, this->last + 1);
   return HybridTimestamp{ this->last };
 }
--- a/src/base/HybridClock.h
+++ b/src/base/HybridClock.h
@@ -1,6 +1,6 @@
 /** \file
- * Hybrid logical clock: stamps that follow wall time and never contradict
- * cause and effect between daemons.
+ * Hybrid logical clock: its timestamps follow wall-clock time and respect the
+ * order of cause and effect between daemons.
  */
 #pragma once
 
@@ -20,17 +20,19 @@
   auto operator<=>(const HybridTimestamp&) const = default;
 };
 
-/** "MILLIS.COUNTER", of fixed width so that texts sort as stamps do. */
+/** "MILLIS.COUNTER" with a fixed width, so that the texts sort in the same
+ * order as the timestamps. */
 std::string
-ToText(HybridTimestamp aStamp);
+ToText(HybridTimestamp aTimestamp);
 
 /** Thread safety: all methods may be called from any thread. */
 class HybridClock
 {
 public:
-  /** A stamp later than all this clock gave or saw. */
-  HybridTimestamp Next(TimePoint aWall);
-  /** Takes in a stamp from another process. */
+  /** Returns a timestamp later than all that this clock has returned or
+   * observed. */
+  HybridTimestamp Next(TimePoint aWallTime);
+  /** Advances the clock to at least a timestamp from another process. */
   void Observe(HybridTimestamp aRemote);
 
 private:
--- a/src/base/Invariant.cpp
+++ b/src/base/Invariant.cpp
@@ -6,12 +6,12 @@
 namespace toucanshed {
 
 void
-BrokenInvariant(std::string_view aWhat)
+BrokenInvariant(std::string_view aMessage)
 {
   std::fprintf(stderr,
                "event=broken_invariant what=\"%.*s\"\n",
-               static_cast<int>(aWhat.size()),
-               aWhat.data());
+               static_cast<int>(aMessage.size()),
+               aMessage.data());
   std::abort();
 }
 
--- a/src/base/Invariant.h
+++ b/src/base/Invariant.h
@@ -1,5 +1,5 @@
 /** \file
- * Broken invariants, and only they, stop the process.
+ * Checks of invariants. Only a broken invariant may abort the process.
  */
 #pragma once
 
@@ -8,16 +8,16 @@
 namespace toucanshed {
 
 /** Writes the text to standard error and aborts. Use it for states that the
- * program's own logic rules out, never for what a user or peer sent. */
+ * program's own logic excludes, never for input from users or peers. */
 [[noreturn]] void
-BrokenInvariant(std::string_view aWhat);
+BrokenInvariant(std::string_view aMessage);
 
-/** Aborts through BrokenInvariant unless aHolds. */
+/** Calls BrokenInvariant if aCondition is false. */
 inline void
-Invariant(bool aHolds, std::string_view aWhat)
+Invariant(bool aCondition, std::string_view aMessage)
 {
-  if (!aHolds) {
-    BrokenInvariant(aWhat);
+  if (!aCondition) {
+    BrokenInvariant(aMessage);
   }
 }
 
--- a/src/base/LogWriter.cpp
+++ b/src/base/LogWriter.cpp
@@ -11,8 +11,8 @@
 bool
 IsWritable(int aDescriptor)
 {
-  pollfd wanted{ aDescriptor, POLLOUT, 0 };
-  return ::poll(&wanted, 1, 0) == 1 && (wanted.revents & POLLOUT) != 0;
+  pollfd request{ aDescriptor, POLLOUT, 0 };
+  return ::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 } // namespace
@@ -53,12 +53,12 @@
   while (written < this->pending.size() && IsWritable(this->descriptor)) {
     const std::size_t block =
       std::min(kMaxWriteBytes, this->pending.size() - written);
-    const ssize_t took =
+    const ssize_t count =
       ::write(this->descriptor, this->pending.data() + written, block);
-    if (took <= 0) {
+    if (count <= 0) {
       break;
     }
-    written += static_cast<std::size_t>(took);
+    written += static_cast<std::size_t>(count);
   }
   this->pending.erase(0, written);
 }
--- a/src/base/LogWriter.h
+++ b/src/base/LogWriter.h
@@ -1,5 +1,5 @@
 /** \file
- * Writes log lines to a descriptor without ever waiting for its reader.
+ * Writes log lines to a file descriptor and never blocks on its reader.
  */
 #pragma once
 
@@ -12,32 +12,35 @@
 namespace toucanshed {
 
 /**
- * A log reader that stops must not stop the process: a write to a full pipe
- * blocks. Lines are kept in memory up to a bound and written only when the
- * descriptor can take a whole block; beyond the bound they are counted and
- * dropped, and the next line that fits says how many were.
+ * A log reader that hangs must not block the process, but a write to a full
+ * pipe would. So lines are buffered in memory up to kMaxBufferedBytes and
+ * written only while poll reports the descriptor as writable. Further lines are
+ * dropped and counted; the number of dropped lines is logged before the next
+ * line that fits.
  *
  * Thread safety: all methods may be called from any thread.
  */
 class LogWriter
 {
 public:
-  /** Bytes kept for a reader that is slow. */
+  /** Maximum number of bytes buffered for a slow reader. */
   static constexpr std::size_t kMaxBufferedBytes = 256U << 10U;
-  /** Bytes that a pipe takes whole once it says that it can be written to. */
+  /** Size of a write that a pipe accepts without blocking once poll reports it
+   * as writable. */
   static constexpr std::size_t kMaxWriteBytes = 4096;
 
-  /** \param aGather bytes to gather before a write is tried; fewer system
-   *   calls, but whoever sets it must call Flush regularly. */
-  explicit LogWriter(int aDescriptor, std::size_t aGather = 0)
+  /** \param aFlushThreshold number of bytes to buffer before a write; a higher
+   *   value saves system calls. If it is not 0, the owner must call Flush
+   *   regularly. */
+  explicit LogWriter(int aDescriptor, std::size_t aFlushThreshold = 0)
     : descriptor(aDescriptor)
-    , flushThreshold(aGather)
+    , flushThreshold(aFlushThreshold)
   {
   }
 
-  /** Takes a line without its end. */
+  /** Logs a line. \param aLine the text without a line end. */
   void Write(std::string_view aLine);
-  /** Writes what the descriptor takes now. */
+  /** Writes buffered lines as far as the descriptor accepts them now. */
   void Flush();
 
   [[nodiscard]] std::uint64_t DroppedLines() const
@@ -53,7 +56,7 @@
   std::mutex mutex;
   std::string pending;
   std::uint64_t droppedLines = 0;
-  std::uint64_t unreportedLines = 0; // of dropped, not yet said in the log
+  std::uint64_t unreportedLines = 0; // part of droppedLines, not logged yet
 };
 
 } // namespace toucanshed
--- a/src/base/Random.h
+++ b/src/base/Random.h
@@ -1,6 +1,7 @@
 /** \file
- * A small seeded generator (splitmix64), so that decisions repeat under a
- * fixed seed on every platform.
+ * A small seeded random number generator (splitmix64). With the same seed it
+ * yields the same numbers on every platform, so that decisions are
+ * reproducible.
  */
 #pragma once
 
@@ -8,7 +9,7 @@
 
 namespace toucanshed {
 
-/** Thread safety: none; one generator per owner. */
+/** Thread safety: none; each owner has its own generator. */
 class Random
 {
 public:
--- a/src/base/RequestRate.h
+++ b/src/base/RequestRate.h
@@ -1,5 +1,5 @@
 /** \file
- * A number of requests a second.
+ * A rate in requests per second.
  */
 #pragma once
 
--- a/src/base/Result.h
+++ b/src/base/Result.h
@@ -1,5 +1,5 @@
 /** \file
- * Outcomes are values: a function that can fail returns Result.
+ * The return type of functions that can fail: a value or an error.
  */
 #pragma once
 
@@ -8,18 +8,18 @@
 
 namespace toucanshed {
 
-/** What kind of thing went wrong, for callers that must choose by it. */
+/** The kind of an error, for callers that handle kinds differently. */
 enum class ErrorCode
 {
-  eInvalid,     // what was given is wrong; repeating it cannot help
-  eUnavailable, // the other side cannot be reached or refuses for now
+  eInvalid,     // the input is wrong; a retry can't succeed
+  eUnavailable, // the peer is unreachable or rejects for now
   eTimeout,     // no progress within the time allowed
-  eClosed,      // the connection ended before the answer did
-  eConflict,    // somebody else was first
-  eProtocol,    // the other side said something it may not say
+  eClosed,      // the connection ended before the response
+  eConflict,    // a concurrent change came first
+  eProtocol,    // the peer violated the protocol
 };
 
-/** An error with a sentence for a person. */
+/** An error with a message for humans. */
 struct Error
 {
   ErrorCode code = ErrorCode::eInvalid;
--- a/src/base/StrongId.h
+++ b/src/base/StrongId.h
@@ -1,6 +1,6 @@
 /** \file
- * An identifier whose type says what it names, so that a team cannot be
- * passed where a service is meant.
+ * A text identifier with its own type per kind of object, so that the compiler
+ * rejects a team where a service is expected.
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace toucanshed {
 
 /**
- * A text identifier. Distinct tags make distinct types.
+ * Each tag makes a distinct type.
  *
  * \code
  * using TeamId = StrongId<struct TeamTag>;
@@ -28,7 +28,6 @@
   auto operator<=>(const StrongId&) const = default;
   bool operator==(const StrongId&) const = default;
 
-  /** Precondition: none. */
   [[nodiscard]] bool Empty() const { return this->value.empty(); }
 };
 
--- a/src/base/StrongNumber.h
+++ b/src/base/StrongNumber.h
@@ -1,5 +1,5 @@
 /** \file
- * A number whose type says what it counts.
+ * A number with its own type per quantity.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 namespace toucanshed {
 
 /**
- * An unsigned 64-bit quantity; distinct tags make distinct types.
+ * An unsigned 64-bit number; each tag makes a distinct type.
  * Thread safety: as a std::uint64_t.
  */
 template<typename Tag>
--- a/src/base/Types.h
+++ b/src/base/Types.h
@@ -1,5 +1,5 @@
 /** \file
- * The ids and units used throughout, each with its own type.
+ * The identifiers and units that all parts share, each with its own type.
  */
 #pragma once
 
@@ -21,19 +21,19 @@
 /** A caller's Idempotency-Key, qualified by team and service. */
 using IdempotencyKey = StrongId<struct IdempotencyKeyTag>;
 using WorkId = StrongId<struct WorkTag>;
-/** One life of a daemon: "id/incarnation". Writers of log records are named
- * by it, so that a restarted daemon is another writer. */
+/** Incarnation key of a daemon: "ID/INCARNATION". It identifies the writer of
+ * log records, so that a restarted daemon counts as another writer. */
 using WriterId = StrongId<struct WriterTag>;
 
-/** Offset of a record's append in the log. Only grows; serves as revision of
- * configuration and as fencing number. */
+/** Offset of a record in the log. It only increases, and also serves as the
+ * configuration's revision and as fencing token. */
 using Position = StrongNumber<struct PositionTag>;
-/** Hash over what a request asks for. */
+/** Hash of what a request asks for. */
 using Fingerprint = StrongNumber<struct FingerprintTag>;
 
 using Millis = std::chrono::milliseconds;
 
-/** Milliseconds since the epoch, or since the start in tests. */
+/** Milliseconds since the epoch; in tests, since the start of the test. */
 struct TimePoint
 {
   std::int64_t ms = 0;
--- a/src/base/ValidationError.cpp
+++ b/src/base/ValidationError.cpp
@@ -3,12 +3,12 @@
 namespace toucanshed {
 
 std::string
-FormatValidationErrors(const std::vector<ValidationError>& aComplaints)
+FormatValidationErrors(const std::vector<ValidationError>& aErrors)
 {
   std::string text;
-  for (const ValidationError& complaint : aComplaints) {
-    text += complaint.path + ": given " + complaint.given + ", allowed " +
-            complaint.allowed + "\n";
+  for (const ValidationError& error : aErrors) {
+    text += error.path + ": given " + error.given + ", allowed " +
+            error.allowed + "\n";
   }
   return text;
 }
--- a/src/base/ValidationError.h
+++ b/src/base/ValidationError.h
@@ -1,6 +1,6 @@
 /** \file
- * A user's mistake in a document or request: where, what was given, and what
- * would have been right.
+ * An error in a user's document or request: its path, the given value, and what
+ * is allowed.
  */
 #pragma once
 
@@ -16,8 +16,8 @@
   std::string allowed;
 };
 
-/** "path: given X, allowed Y", one line a complaint. */
+/** "path: given X, allowed Y", one line per error. */
 std::string
-FormatValidationErrors(const std::vector<ValidationError>& aComplaints);
+FormatValidationErrors(const std::vector<ValidationError>& aErrors);
 
 } // namespace toucanshed
