--- a/src/base/Result.h
+++ b/src/base/Result.h
@@ -14,7 +14,7 @@
   eInvalid,     // the input is wrong; a retry can't succeed
   eUnavailable, // the peer is unreachable or rejects for now
   eTimeout,     // no progress within the time allowed
-  eClosed,      // the connection ended before the response
+  eClosed,      // the connection ended before the response did
   eConflict,    // a concurrent change came first
   eProtocol,    // the peer violated the protocol
 };
--- a/src/edge/Endpoint.h
+++ b/src/edge/Endpoint.h
@@ -1,5 +1,5 @@
 /** \file
- * IP:PORT of a process.
+ * The network address of a process: IP:PORT.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-/** Parses "127.0.0.1:8000"; names are not resolved. */
+/** Parses "127.0.0.1:8000". Host names are not resolved. */
 Result<Endpoint>
 ParseEndpoint(const std::string& aText);
 
--- a/src/edge/EngineClient.cpp
+++ b/src/edge/EngineClient.cpp
@@ -73,26 +73,27 @@
     if (const auto line = this->TakeLine()) {
       auto event = ParseEvent(*line);
       if (!event) {
-        co_return tl::unexpected<EngineError>(EngineError{
-          EngineErrorKind::eMalformedEvent, "not an event: " + *line });
+        co_return tl::unexpected<EngineError>(
+          EngineError{ EngineErrorKind::eMalformedEvent,
+                       "invalid event of an engine: " + *line });
       }
       co_return event;
     }
-    auto piece = co_await this->exchange.ReadChunk();
-    if (!piece) {
-      co_return tl::unexpected<EngineError>(ErrorOf(piece.error()));
+    auto chunk = co_await this->exchange.ReadChunk();
+    if (!chunk) {
+      co_return tl::unexpected<EngineError>(ErrorOf(chunk.error()));
     }
-    if (!piece->has_value()) {
+    if (!chunk->has_value()) {
       co_return std::optional<EngineEvent>{};
     }
-    this->buffer += **piece;
+    this->buffer += **chunk;
   }
 }
 
 Task<tl::expected<EngineStream, EngineError>>
 OpenEngineStream(Worker& aWorker,
                  std::string aAddress,
-                 GenerationRequest aCall,
+                 GenerationRequest aGeneration,
                  CallTimeouts aTimeouts)
 {
   const auto endpoint = ParseEndpoint(aAddress);
@@ -100,11 +101,12 @@
     co_return tl::unexpected<EngineError>(
       EngineError{ EngineErrorKind::eUnreachable, endpoint.error().message });
   }
-  const json::object body{
-    { "attempt", aCall.attempt.value },  { "prompt", aCall.prompt },
-    { "max_tokens", aCall.maxTokens },   { "priority", aCall.priority },
-    { "resume_from", aCall.resumeFrom }, { "resume_text", aCall.resumeText }
-  };
+  const json::object body{ { "attempt", aGeneration.attempt.value },
+                           { "prompt", aGeneration.prompt },
+                           { "max_tokens", aGeneration.maxTokens },
+                           { "priority", aGeneration.priority },
+                           { "resume_from", aGeneration.resumeFrom },
+                           { "resume_text", aGeneration.resumeText } };
   HttpRequest request =
     MakeRequest(http::verb::post, "/generate", json::serialize(body));
   auto opened = co_await HttpExchange::Open(
@@ -119,11 +121,11 @@
   if (status == kOk) {
     co_return EngineStream(std::move(*opened));
   }
-  const bool refused =
+  const bool rejected =
     status == kServiceUnavailable || status == kTooManyRequests;
   co_return tl::unexpected<EngineError>(EngineError{
-    refused ? EngineErrorKind::eRejected : EngineErrorKind::eErrorStatus,
-    "engine answered " + std::to_string(status) });
+    rejected ? EngineErrorKind::eRejected : EngineErrorKind::eErrorStatus,
+    "engine responded with status " + std::to_string(status) });
 }
 
 Task<void>
@@ -156,28 +158,29 @@
   CallTimeouts timeouts;
   timeouts.connect = std::chrono::milliseconds(300);
   timeouts.head = std::chrono::milliseconds(1000);
-  const json::object asked{ { "attempt", aAttempt.value },
-                            { "count", aTokens } };
+  const json::object exportBody{ { "attempt", aAttempt.value },
+                                 { "count", aTokens } };
   HttpRequest request =
-    MakeRequest(http::verb::post, "/export", json::serialize(asked));
-  const auto state =
+    MakeRequest(http::verb::post, "/export", json::serialize(exportBody));
+  const auto kvState =
     co_await Fetch(aWorker, *from, std::move(request), timeouts, true);
   co_await CancelEngineAttempt(aWorker, aFrom, aAttempt);
-  if (!state || state->result_int() != kOk) {
+  if (!kvState || kvState->result_int() != kOk) {
     co_return false;
   }
-  HttpRequest import = MakeRequest(http::verb::post, "/import", state->body());
-  const auto taken =
+  HttpRequest import =
+    MakeRequest(http::verb::post, "/import", kvState->body());
+  const auto imported =
     co_await Fetch(aWorker, *to, std::move(import), timeouts, true);
-  co_return taken && taken->result_int() == kOk;
+  co_return imported && imported->result_int() == kOk;
 }
 
 Task<Result<EngineReport>>
 FetchEngineReport(Worker& aWorker,
-                  EngineReport aKnown,
+                  EngineReport aBase,
                   std::chrono::milliseconds aTimeout)
 {
-  const auto endpoint = ParseEndpoint(aKnown.address);
+  const auto endpoint = ParseEndpoint(aBase.address);
   if (!endpoint) {
     co_return tl::unexpected<Error>(endpoint.error());
   }
@@ -185,27 +188,27 @@
   timeouts.connect = aTimeout;
   timeouts.head = aTimeout;
   HttpRequest request = MakeRequest(http::verb::get, "/load");
-  const auto reply =
+  const auto response =
     co_await Fetch(aWorker, *endpoint, std::move(request), timeouts, true);
-  if (!reply || reply->result_int() != kOk) {
-    co_return Fail(ErrorCode::eUnavailable, "no load report");
+  if (!response || response->result_int() != kOk) {
+    co_return Fail(ErrorCode::eUnavailable, "engine sent no load report");
   }
-  const auto object = ParseJsonObject(reply->body());
+  const auto object = ParseJsonObject(response->body());
   if (!object) {
-    co_return Fail(ErrorCode::eProtocol, "load report is no JSON object");
+    co_return Fail(ErrorCode::eProtocol, "load report: expected a JSON object");
   }
-  const auto keep = [&](const char* aName, std::string& aField) {
-    const std::string given = StringOf(*object, aName);
-    aField = given.empty() ? aField : given;
+  const auto update = [&](const char* aName, std::string& aField) {
+    const std::string reported = StringOf(*object, aName);
+    aField = reported.empty() ? aField : reported;
   };
-  keep("incarnation", aKnown.incarnation);
-  keep("service", aKnown.service.value);
-  keep("version", aKnown.version.value);
-  aKnown.slots = std::max(aKnown.slots, NumberOf(*object, "slots"));
-  aKnown.running = NumberOf(*object, "running");
-  aKnown.waiting = NumberOf(*object, "waiting");
-  aKnown.leaving = aKnown.leaving || BoolOf(*object, "leaving");
-  co_return aKnown;
+  update("incarnation", aBase.incarnation);
+  update("service", aBase.service.value);
+  update("version", aBase.version.value);
+  aBase.slots = std::max(aBase.slots, NumberOf(*object, "slots"));
+  aBase.running = NumberOf(*object, "running");
+  aBase.waiting = NumberOf(*object, "waiting");
+  aBase.leaving = aBase.leaving || BoolOf(*object, "leaving");
+  co_return aBase;
 }
 
 } // namespace toucanshed
--- a/src/edge/EngineClient.h
+++ b/src/edge/EngineClient.h
@@ -1,5 +1,6 @@
 /** \file
- * The model engines' protocol; the only code that knows it.
+ * Client for the protocol of the model engines. No other code depends on this
+ * protocol.
  */
 #pragma once
 
@@ -13,15 +14,15 @@
 
 namespace toucanshed {
 
-/** What an engine is asked to generate. */
+/** A request to an engine to generate tokens. */
 struct GenerationRequest
 {
   AttemptId attempt;
   std::string prompt;
   std::uint64_t maxTokens = 0;
-  int priority = 0;             // higher goes first
-  std::uint64_t resumeFrom = 0; // tokens that are already there
-  std::string resumeText;       // and their text
+  int priority = 0;             // higher values are scheduled first
+  std::uint64_t resumeFrom = 0; // number of tokens generated so far
+  std::string resumeText;       // the text of these tokens
 };
 
 /** One event of an engine's stream. */
@@ -29,19 +30,19 @@
 {
   bool done = false;
   std::string attempt;
-  std::uint64_t offset = 0; // of the token; when done, the count of tokens
+  std::uint64_t offset = 0; // of the token; if done, the number of tokens
   std::string token;
 };
 
-/** How an attempt to use an engine failed. */
+/** How a call to an engine failed. */
 enum class EngineErrorKind
 {
-  eUnreachable,    // no connection: nothing was sent
-  eRejected,       // it says that it did not run the request
-  eErrorStatus,    // it answered with an error
-  eTimedOut,       // no progress in the time allowed
-  eDisconnected,   // the connection ended before the answer
-  eMalformedEvent, // it said something that is no event
+  eUnreachable,    // could not connect: nothing was sent
+  eRejected,       // the engine reports that it did not run the request
+  eErrorStatus,    // the response has an error status
+  eTimedOut,       // no progress within the timeout
+  eDisconnected,   // the connection ended before the response did
+  eMalformedEvent, // the engine sent something other than an event
 };
 
 struct EngineError
@@ -50,38 +51,40 @@
   std::string message;
 };
 
-/** An answer being read. Thread safety: belongs to its worker. */
+/** The response to a generation request, read event by event. Thread safety:
+ * belongs to its worker. */
 class EngineStream
 {
 public:
   explicit EngineStream(HttpExchange aExchange);
 
-  /** The next event; nothing when the stream has ended in good order. */
+  /** Returns the next event; nothing if the stream has ended properly. */
   Task<tl::expected<std::optional<EngineEvent>, EngineError>> Next();
 
 private:
+  /** Removes the first complete line from the buffer and returns it. */
   std::optional<std::string> TakeLine();
 
   HttpExchange exchange;
   std::string buffer;
 };
 
-/** Starts generating. */
+/** Sends a generation request and opens the stream of its response. */
 Task<tl::expected<EngineStream, EngineError>>
 OpenEngineStream(Worker& aWorker,
                  std::string aAddress,
-                 GenerationRequest aCall,
+                 GenerationRequest aGeneration,
                  CallTimeouts aTimeouts);
 
-/** Tells an engine that nobody waits for an attempt any more; on a connection
- * of its own, as the attempt's may be lost. */
+/** Cancels an attempt at an engine. Uses a new connection, as the attempt's own
+ * connection may be lost. */
 Task<void>
 CancelEngineAttempt(Worker& aWorker, std::string aAddress, AttemptId aAttempt);
 
-/** Takes an attempt's cached state from one engine to another, and ends the
+/** Transfers an attempt's KV cache from one engine to another, and cancels the
  * attempt at the first.
- * \return whether the second holds it now; if not, it computes the prompt and
- *   the tokens so far again. */
+ * \return whether the second engine has imported it. If not, that engine
+ *   recomputes the prompt and the tokens generated so far. */
 Task<bool>
 TransferKvCache(Worker& aWorker,
                 std::string aFrom,
@@ -89,11 +92,12 @@
                 AttemptId aAttempt,
                 std::uint64_t aTokens);
 
-/** Fills in what the back end at aKnown.address says of itself. A plain
- * service says little; what it leaves out stays as given. */
+/** Fetches the load report of the back end at aBase.address. Returns aBase with
+ * the reported fields replaced. A plain service reports few fields; those that
+ * it omits keep their value. */
 Task<Result<EngineReport>>
 FetchEngineReport(Worker& aWorker,
-                  EngineReport aKnown,
+                  EngineReport aBase,
                   std::chrono::milliseconds aTimeout);
 
 } // namespace toucanshed
--- a/src/edge/HttpConnectionPool.cpp
+++ b/src/edge/HttpConnectionPool.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/** Whether nothing has arrived on an idle connection. Bytes there belong to no
- * request (an answer that came twice, or late), and the end of the stream says
- * that the peer has closed it. */
+/** Whether an idle connection is open and has no unread bytes. Such bytes
+ * belong to no request (a duplicate or late response), and the end of the
+ * stream means that the peer has closed the connection. */
 bool
 IsOpenAndIdle(HttpConnection& aConnection)
 {
   char byte = 0;
-  const ssize_t got = ::recv(aConnection.stream.socket().native_handle(),
-                             &byte,
-                             1,
-                             MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = ::recv(aConnection.stream.socket().native_handle(),
+                                  &byte,
+                                  1,
+                                  MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 } // namespace
@@ -28,12 +28,14 @@
 HttpConnectionPool::IsReusable(const IdleConnection& aIdle,
                                std::chrono::steady_clock::time_point aNow)
 {
-  std::chrono::duration<double> most = kMaxIdleTime;
-  const std::chrono::duration<double> said = aIdle.connection->keepAliveTimeout;
-  if (said.count() > 0) {
-    most = std::min(most, said * kKeepAliveFraction);
+  std::chrono::duration<double> maxIdleTime = kMaxIdleTime;
+  const std::chrono::duration<double> peerTimeout =
+    aIdle.connection->keepAliveTimeout;
+  if (peerTimeout.count() > 0) {
+    maxIdleTime = std::min(maxIdleTime, peerTimeout * kKeepAliveFraction);
   }
-  return aNow - aIdle.idleSince < most && IsOpenAndIdle(*aIdle.connection);
+  return aNow - aIdle.idleSince < maxIdleTime &&
+         IsOpenAndIdle(*aIdle.connection);
 }
 
 std::unique_ptr<HttpConnection>
--- a/src/edge/HttpConnectionPool.h
+++ b/src/edge/HttpConnectionPool.h
@@ -15,14 +15,15 @@
 
 namespace toucanshed {
 
-/** One connection with what was read ahead on it. */
+/** A connection and the bytes read ahead from it. */
 struct HttpConnection
 {
   boost::beast::tcp_stream stream;
   boost::beast::flat_buffer buffer;
   Endpoint endpoint;
   std::chrono::steady_clock::time_point opened;
-  /** How long the peer keeps it open while idle; 0 when it has not said. */
+  /** How long the peer keeps it open while idle; 0 if the peer has not stated
+   * it. */
   std::chrono::seconds keepAliveTimeout{ 0 };
   bool reused = false;
 };
@@ -36,22 +37,27 @@
   {
   }
 
-  /** An idle connection, or null when there is none young enough. */
+  /** Returns an idle connection, or null if none has been idle for less than
+   * the limit. */
   std::unique_ptr<HttpConnection> Acquire(const Endpoint& aEndpoint);
-  /** An unconnected one. */
+  /** Returns a new, unconnected connection. */
   std::unique_ptr<HttpConnection> Create(const Endpoint& aEndpoint);
-  /** Precondition: the last answer on it was read to its end. */
+  /** Returns a connection to the pool. Precondition: the last response on it
+   * was read completely. */
   void Release(std::unique_ptr<HttpConnection> aConnection);
-  /** Drops all idle connections to aEndpoint: when one has gone silent, what
-   * lost track of it may have lost the others of its age too. */
+  /** Closes all idle connections to aEndpoint. Call it after one of them timed
+   * out or failed: a path that has lost the state of one connection may have
+   * lost that of other connections of the same age too. */
   void CloseIdle(const Endpoint& aEndpoint);
 
-  /** Idle connections kept to one endpoint. */
+  /** Maximum number of idle connections per endpoint. */
   static constexpr std::size_t kMaxIdlePerEndpoint = 32;
-  /** Idle longer than this is not used again; servers close at 60 s. */
+  /** A connection that has been idle longer is not reused. Servers close idle
+   * connections after 60 s. */
   static constexpr std::chrono::seconds kMaxIdleTime{ 20 };
-  /** Part of the peer's own limit that is used: a request sent as the peer
-   * closes is lost without a word, and might have run. */
+  /** Fraction of the peer's keep-alive timeout during which a connection is
+   * reused. A request that is sent while the peer closes the connection is lost
+   * without an error response, and it may have run. */
   static constexpr double kKeepAliveFraction = 0.6;
 
 private:
@@ -63,8 +69,8 @@
 
   static bool IsReusable(const IdleConnection& aIdle,
                          std::chrono::steady_clock::time_point aNow);
-  /** Closes what has been idle too long, also to endpoints that are gone and
-   * that nobody will ask for again. */
+  /** Closes connections that have been idle for kMaxIdleTime. This covers
+   * endpoints that are gone, for which Acquire is never called again. */
   void RemoveExpired(std::chrono::steady_clock::time_point aNow);
 
   boost::asio::io_context& context;
--- a/src/edge/HttpExchange.cpp
+++ b/src/edge/HttpExchange.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** Answers larger than this are refused as a protocol error. */
+/** A larger response fails as a protocol error. */
 constexpr std::uint64_t kMaxResponseBytes = 64ULL << 20U;
 
 ErrorCode
@@ -26,37 +26,39 @@
   }
   if (aError.category() ==
       http::make_error_code(http::error::bad_version).category()) {
-    const bool cut = aError == http::error::end_of_stream ||
-                     aError == http::error::partial_message;
-    return cut ? ErrorCode::eClosed : ErrorCode::eProtocol;
+    const bool truncated = aError == http::error::end_of_stream ||
+                           aError == http::error::partial_message;
+    return truncated ? ErrorCode::eClosed : ErrorCode::eProtocol;
   }
   return ErrorCode::eClosed;
 }
 
-/** The system's own limit on unacknowledged bytes. A peer that lost power, or a
- * path that has lost track of the connection, answers nothing at all, not even
- * a reset; without this the bytes wait for many minutes in the kernel. */
+/** Limits how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT). A
+ * peer that lost power, or a path that lost the connection's state, sends
+ * nothing, not even a reset. Without the limit the kernel retransmits for many
+ * minutes. */
 void
 SetTcpUserTimeout(boost::asio::ip::tcp::socket& aSocket)
 {
-  constexpr int kMostUnacknowledgedMs = 3000; // as long as callers wait for one
+  constexpr int kUserTimeoutMs = 3000; // as long as callers wait for a response
   using UserTimeout =
     net::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
   boost::system::error_code ignored;
-  aSocket.set_option(UserTimeout(kMostUnacknowledgedMs), ignored);
+  aSocket.set_option(UserTimeout(kUserTimeoutMs), ignored);
 }
 
-/** Seconds that the peer says it keeps an idle connection; 0 if it does not. */
+/** Time for which the peer keeps an idle connection, from its Keep-Alive field;
+ * 0 if the field does not state it. */
 std::chrono::seconds
 ParseKeepAliveTimeout(const http::fields& aFields)
 {
-  constexpr std::string_view kName = "timeout=";
+  constexpr std::string_view kParameter = "timeout=";
   const std::string_view text = aFields[http::field::keep_alive];
-  const auto start = text.find(kName);
+  const auto start = text.find(kParameter);
   if (start == std::string_view::npos) {
     return {};
   }
-  const char* digits = text.data() + start + kName.size();
+  const char* digits = text.data() + start + kParameter.size();
   int seconds = 0;
   std::from_chars(digits, text.data() + text.size(), seconds);
   return std::chrono::seconds(seconds);
@@ -129,18 +131,18 @@
 HttpExchange::SendAndReadHead(HttpRequest& aRequest)
 {
   boost::system::error_code error;
-  HttpConnection& open = *this->connection;
-  open.stream.expires_after(this->timeouts.head);
+  HttpConnection& current = *this->connection;
+  current.stream.expires_after(this->timeouts.head);
   co_await http::async_write(
-    open.stream, aRequest, net::redirect_error(net::use_awaitable, error));
+    current.stream, aRequest, net::redirect_error(net::use_awaitable, error));
   if (error) {
     co_return this->FailCall(CallPhase::eSend, error);
   }
   this->parser = std::make_unique<Parser>();
   this->parser->body_limit(kMaxResponseBytes);
   co_await http::async_read_header(
-    open.stream,
-    open.buffer,
+    current.stream,
+    current.buffer,
     *this->parser,
     net::redirect_error(net::use_awaitable, error));
   if (error) {
@@ -154,37 +156,37 @@
                    const Endpoint& aEndpoint,
                    HttpRequest aRequest,
                    CallTimeouts aTimeouts,
-                   bool aFresh,
-                   std::shared_ptr<AbortHandle> aAbort,
-                   PreSendCheck aMaySend)
+                   bool aNewConnection,
+                   std::shared_ptr<AbortHandle> aAbortHandle,
+                   PreSendCheck aPreSendCheck)
 {
   HttpExchange exchange;
   exchange.worker = &aWorker;
   exchange.timeouts = aTimeouts;
-  exchange.abortHandle = std::move(aAbort);
-  if (!aFresh) {
+  exchange.abortHandle = std::move(aAbortHandle);
+  if (!aNewConnection) {
     exchange.connection = aWorker.connectionPool.Acquire(aEndpoint);
   }
   if (!exchange.connection) {
     exchange.connection = aWorker.connectionPool.Create(aEndpoint);
     exchange.UpdateAbortHandle();
-    const auto refused = co_await exchange.Connect();
-    if (refused) {
-      co_return tl::unexpected<CallError>(*refused);
+    const auto connectError = co_await exchange.Connect();
+    if (connectError) {
+      co_return tl::unexpected<CallError>(*connectError);
     }
   }
   exchange.UpdateAbortHandle();
-  const bool wanted = !aMaySend || aMaySend();
-  if (exchange.Aborted() || !wanted) {
+  const bool maySend = !aPreSendCheck || aPreSendCheck();
+  if (exchange.Aborted() || !maySend) {
     co_return tl::unexpected<CallError>(
       exchange.FailCall(CallPhase::eConnect, net::error::operation_aborted));
   }
   if (aRequest.find(http::field::host) == aRequest.end()) {
     aRequest.set(http::field::host, ToText(aEndpoint));
   }
-  const auto failed = co_await exchange.SendAndReadHead(aRequest);
-  if (failed) {
-    co_return tl::unexpected<CallError>(*failed);
+  const auto sendError = co_await exchange.SendAndReadHead(aRequest);
+  if (sendError) {
+    co_return tl::unexpected<CallError>(*sendError);
   }
   co_return exchange;
 }
@@ -207,11 +209,11 @@
   std::string& body = this->parser->get().body();
   while (body.empty() && !this->parser->is_done()) {
     boost::system::error_code error;
-    HttpConnection& open = *this->connection;
-    open.stream.expires_after(this->timeouts.bodyIdle);
+    HttpConnection& current = *this->connection;
+    current.stream.expires_after(this->timeouts.bodyIdle);
     co_await http::async_read_some(
-      open.stream,
-      open.buffer,
+      current.stream,
+      current.buffer,
       *this->parser,
       net::redirect_error(net::use_awaitable, error));
     if (error) {
@@ -220,9 +222,9 @@
     }
   }
   if (!body.empty()) {
-    std::optional<std::string> piece(std::move(body));
+    std::optional<std::string> chunk(std::move(body));
     body.clear();
-    co_return piece;
+    co_return chunk;
   }
   const bool reusable = this->parser->keep_alive() &&
                         this->connection != nullptr &&
@@ -243,31 +245,31 @@
           Endpoint aEndpoint,
           HttpRequest aRequest,
           CallTimeouts aTimeouts,
-          bool aFresh,
-          PreSendCheck aMaySend)
+          bool aNewConnection,
+          PreSendCheck aPreSendCheck)
 {
   auto opened = co_await HttpExchange::Open(aWorker,
                                             aEndpoint,
                                             std::move(aRequest),
                                             aTimeouts,
-                                            aFresh,
+                                            aNewConnection,
                                             nullptr,
-                                            std::move(aMaySend));
+                                            std::move(aPreSendCheck));
   if (!opened) {
     co_return tl::unexpected<CallError>(opened.error());
   }
-  HttpResponse reply;
-  static_cast<http::fields&>(reply.base()) = opened->Headers();
-  reply.result(opened->Status());
+  HttpResponse response;
+  static_cast<http::fields&>(response.base()) = opened->Headers();
+  response.result(opened->Status());
   while (true) {
-    auto piece = co_await opened->ReadChunk();
-    if (!piece) {
-      co_return tl::unexpected<CallError>(piece.error());
+    auto chunk = co_await opened->ReadChunk();
+    if (!chunk) {
+      co_return tl::unexpected<CallError>(chunk.error());
     }
-    if (!piece->has_value()) {
-      co_return reply;
+    if (!chunk->has_value()) {
+      co_return response;
     }
-    reply.body() += **piece;
+    response.body() += **chunk;
   }
 }
 
@@ -278,19 +280,19 @@
       Endpoint aEndpoint,
       HttpRequest aRequest,
       CallTimeouts aTimeouts,
-      bool aFresh,
-      PreSendCheck aMaySend)
+      bool aNewConnection,
+      PreSendCheck aPreSendCheck)
 {
   auto first = co_await FetchOnce(
-    aWorker, aEndpoint, aRequest, aTimeouts, aFresh, aMaySend);
-  const bool stale = !first && first.error().reused && !aFresh &&
+    aWorker, aEndpoint, aRequest, aTimeouts, aNewConnection, aPreSendCheck);
+  const bool stale = !first && first.error().reused && !aNewConnection &&
                      first.error().phase != CallPhase::eBody;
   if (!stale) {
     co_return first;
   }
   aWorker.connectionPool.CloseIdle(aEndpoint);
   auto second = co_await FetchOnce(
-    aWorker, aEndpoint, std::move(aRequest), aTimeouts, true, aMaySend);
+    aWorker, aEndpoint, std::move(aRequest), aTimeouts, true, aPreSendCheck);
   co_return second;
 }
 
--- a/src/edge/HttpExchange.h
+++ b/src/edge/HttpExchange.h
@@ -1,5 +1,5 @@
 /** \file
- * One HTTP request to another process and its answer, read as it arrives.
+ * One HTTP request to another process and its response, read as it arrives.
  */
 #pragma once
 
@@ -15,8 +15,8 @@
 
 struct Worker;
 
-/** How far a call had come when it failed. Until eSend no byte has reached the
- * other side, so only a failure in eConnect proves that nothing ran. */
+/** The phase in which a call failed. No byte reaches the peer before eSend, so
+ * only a failure in eConnect proves that the request did not run. */
 enum class CallPhase
 {
   eConnect,
@@ -30,7 +30,7 @@
   CallPhase phase = CallPhase::eConnect;
   ErrorCode code = ErrorCode::eUnavailable;
   std::string message;
-  /** It failed on a connection that had carried another call before. */
+  /** Whether it failed on a connection that had served another call before. */
   bool reused = false;
 };
 
@@ -38,16 +38,16 @@
 using CallResult = tl::expected<T, CallError>;
 
 /**
- * Ends a call from outside the coroutine that waits on it, for instance when
- * the caller it is made for has hung up. An engine that nobody waits for should
- * notice at once, and it does when its connection closes.
+ * Aborts a call from outside the coroutine that waits for it, for example when
+ * the caller has disconnected. Closing the connection tells the engine at once
+ * that nobody waits for its response.
  *
  * Thread safety: none; belongs to the worker of the call.
  */
 class AbortHandle
 {
 public:
-  /** Closes the call's connection, now or as soon as it has one. */
+  /** Closes the call's connection, now or as soon as there is one. */
   void Abort();
   [[nodiscard]] bool Aborted() const { return this->aborted; }
 
@@ -58,11 +58,11 @@
   HttpConnection* activeConnection = nullptr;
 };
 
-/** Asked right before a request's first byte is sent; false ends the call with
- * nothing sent. */
+/** Called right before the first byte of a request is sent. If it returns
+ * false, the call fails and nothing is sent. */
 using PreSendCheck = std::function<bool()>;
 
-/** How long each phase may go without progress. */
+/** Maximum time without progress in each phase. */
 struct CallTimeouts
 {
   std::chrono::milliseconds connect{ 500 };
@@ -71,13 +71,13 @@
 };
 
 /**
- * A call in progress. A connection whose answer was not read to its end is
- * closed, never reused: the rest of that answer would be taken for the start
- * of the next one.
+ * A call in progress. A connection whose response was not read completely is
+ * closed and never reused: the rest of that response would be parsed as the
+ * start of the next one.
  *
  * \code
  * auto call = co_await HttpExchange::Open(worker, endpoint, request, {});
- * while (auto piece = co_await call->ReadPiece()) { ... }
+ * while (auto chunk = co_await call->ReadChunk()) { ... }
  * \endcode
  *
  * Thread safety: none; belongs to the worker it was opened on.
@@ -85,40 +85,41 @@
 class HttpExchange
 {
 public:
-  /** Sends the request and reads the answer's head.
-   *  \param aFresh open a new connection even when an idle one is at hand; for
-   *    calls that may not be repeated, whose failure must be unambiguous. */
+  /** Sends the request and reads the head of the response.
+   *  \param aNewConnection open a new connection even if there is an idle one.
+   *    For calls that must not be repeated, whose failure must be unambiguous.
+   */
   static Task<CallResult<HttpExchange>> Open(
     Worker& aWorker,
     const Endpoint& aEndpoint,
     HttpRequest aRequest,
     CallTimeouts aTimeouts,
-    bool aFresh = false,
-    std::shared_ptr<AbortHandle> aAbort = nullptr,
-    PreSendCheck aMaySend = nullptr);
+    bool aNewConnection = false,
+    std::shared_ptr<AbortHandle> aAbortHandle = nullptr,
+    PreSendCheck aPreSendCheck = nullptr);
   HttpExchange(HttpExchange&&) noexcept = default;
   HttpExchange& operator=(HttpExchange&&) noexcept = default;
   ~HttpExchange();
 
-  /** Time without progress that is allowed from here on. */
-  void SetBodyIdleTimeout(std::chrono::milliseconds aGap)
+  /** Sets the maximum time without progress from now on. */
+  void SetBodyIdleTimeout(std::chrono::milliseconds aTimeout)
   {
-    this->timeouts.bodyIdle = aGap;
+    this->timeouts.bodyIdle = aTimeout;
   }
-  /** Closes the connection; the rest of the answer is not wanted. */
+  /** Closes the connection and discards the rest of the response. */
   void CloseConnection();
 
   [[nodiscard]] unsigned Status() const;
   [[nodiscard]] const http::fields& Headers() const;
 
-  /** The next piece of the body; nothing when the body is complete. */
+  /** Returns the next chunk of the body; nothing if the body is complete. */
   Task<CallResult<std::optional<std::string>>> ReadChunk();
 
 private:
   using Parser = http::response_parser<http::string_body>;
 
   HttpExchange() = default;
-  /** Points the abort handle at the connection, or at none. */
+  /** Sets the abort handle's connection to the current one, or to none. */
   void UpdateAbortHandle();
   [[nodiscard]] bool Aborted() const
   {
@@ -136,15 +137,15 @@
   std::unique_ptr<Parser> parser;
 };
 
-/** Sends a request and reads the whole answer. A call that fails on a reused
- * connection before any answer is sent once more on a new one; pass aFresh for
- * calls that may not be repeated. */
+/** Sends a request and reads the whole response. If the call fails on a reused
+ * connection before the body of the response, it is repeated once on a new
+ * connection. Pass aNewConnection for calls that must not be repeated. */
 Task<CallResult<HttpResponse>>
 Fetch(Worker& aWorker,
       Endpoint aEndpoint,
       HttpRequest aRequest,
       CallTimeouts aTimeouts,
-      bool aFresh = false,
-      PreSendCheck aMaySend = nullptr);
+      bool aNewConnection = false,
+      PreSendCheck aPreSendCheck = nullptr);
 
 } // namespace toucanshed
--- a/src/edge/HttpResponder.cpp
+++ b/src/edge/HttpResponder.cpp
@@ -16,7 +16,7 @@
 namespace net = boost::asio;
 
 namespace {
-/** A receiver that takes nothing for this long is given up. */
+/** If a receiver accepts nothing for this time, the write fails. */
 constexpr std::chrono::seconds kWriteTimeout{ 30 };
 }
 
@@ -28,23 +28,23 @@
 }
 
 void
-HttpResponder::NotifyOnDisconnect(std::function<void()> aOnGone)
+HttpResponder::NotifyOnDisconnect(std::function<void()> aOnDisconnect)
 {
   this->disconnectWatch = std::make_shared<DisconnectWatch>();
-  this->disconnectWatch->onDisconnect = std::move(aOnGone);
+  this->disconnectWatch->onDisconnect = std::move(aOnDisconnect);
   auto& socket = this->stream.socket();
   socket.async_wait(net::ip::tcp::socket::wait_read,
                     [watch = this->disconnectWatch,
                      &socket](const boost::system::error_code& aError) {
                       if (!watch->onDisconnect) {
-                        return; // answered; the socket may be gone
+                        return; // the response was sent; the socket may be gone
                       }
                       char byte = 0;
-                      const ssize_t got =
+                      const ssize_t received =
                         aError
                           ? 0
                           : ::recv(socket.native_handle(), &byte, 1, MSG_PEEK);
-                      if (got <= 0) {
+                      if (received <= 0) {
                         watch->onDisconnect();
                       }
                     });
@@ -66,17 +66,17 @@
 }
 
 Task<bool>
-HttpResponder::Send(HttpResponse aReply)
+HttpResponder::Send(HttpResponse aResponse)
 {
-  Invariant(!this->started, "an answer is sent once");
+  Invariant(!this->started, "a response is sent only once");
   this->started = true;
   this->ended = true;
-  aReply.keep_alive(this->keepAlive);
-  aReply.prepare_payload();
+  aResponse.keep_alive(this->keepAlive);
+  aResponse.prepare_payload();
   boost::system::error_code error;
   this->stream.expires_after(kWriteTimeout);
   co_await http::async_write(
-    this->stream, aReply, net::redirect_error(net::use_awaitable, error));
+    this->stream, aResponse, net::redirect_error(net::use_awaitable, error));
   this->writeFailed = static_cast<bool>(error);
   co_return !this->writeFailed;
 }
@@ -84,7 +84,7 @@
 Task<bool>
 HttpResponder::Begin(HttpResponse aHead)
 {
-  Invariant(!this->started, "an answer is sent once");
+  Invariant(!this->started, "a response is sent only once");
   this->started = true;
   aHead.keep_alive(this->keepAlive);
   aHead.body().clear();
@@ -95,24 +95,25 @@
 }
 
 Task<bool>
-HttpResponder::Write(std::string aPiece)
+HttpResponder::Write(std::string aChunk)
 {
-  Invariant(this->started && !this->ended, "pieces follow a begun answer");
-  if (aPiece.empty()) {
+  Invariant(this->started && !this->ended,
+            "chunks are written between Begin and End");
+  if (aChunk.empty()) {
     co_return !this->writeFailed;
   }
   std::array<char, 20> size{};
-  std::snprintf(size.data(), size.size(), "%zx\r\n", aPiece.size());
-  co_return co_await this->WriteRaw(size.data() + aPiece + "\r\n");
+  std::snprintf(size.data(), size.size(), "%zx\r\n", aChunk.size());
+  co_return co_await this->WriteRaw(size.data() + aChunk + "\r\n");
 }
 
 Task<bool>
 HttpResponder::End(std::string aTrailers)
 {
-  Invariant(this->started && !this->ended, "a begun answer ends once");
+  Invariant(this->started && !this->ended, "End is called once, after Begin");
   this->ended = true;
-  std::string last = "0\r\n" + std::move(aTrailers) + "\r\n";
-  co_return co_await this->WriteRaw(std::move(last));
+  std::string end = "0\r\n" + std::move(aTrailers) + "\r\n";
+  co_return co_await this->WriteRaw(std::move(end));
 }
 
 } // namespace toucanshed
--- a/src/edge/HttpResponder.h
+++ b/src/edge/HttpResponder.h
@@ -1,5 +1,5 @@
 /** \file
- * Writes one answer, whole or in pieces.
+ * Writes one HTTP response, whole or in chunks.
  */
 #pragma once
 
@@ -13,8 +13,9 @@
 namespace toucanshed {
 
 /**
- * Thread safety: none; belongs to the connection's worker. Every method
- * answers false once the receiver has gone.
+ * The writing methods return false once the receiver has disconnected.
+ *
+ * Thread safety: none; belongs to the connection's worker.
  */
 class HttpResponder
 {
@@ -28,35 +29,38 @@
   HttpResponder(const HttpResponder&) = delete;
   HttpResponder& operator=(const HttpResponder&) = delete;
 
-  /** Sends a whole answer. Precondition: nothing was sent before. */
-  Task<bool> Send(HttpResponse aReply);
+  /** Sends a whole response. Precondition: nothing was sent before. */
+  Task<bool> Send(HttpResponse aResponse);
 
-  /** Sends the head of an answer whose body follows in pieces; aHead's body is
+  /** Sends the head of a response whose body follows in chunks; aHead's body is
    * ignored. Precondition: nothing was sent before. */
   Task<bool> Begin(HttpResponse aHead);
-  /** Precondition: Begin was called and End was not. */
-  Task<bool> Write(std::string aPiece);
-  /** Ends the body. An answer that is not ended is seen as cut short.
-   * \param aTrailers fields that were not known when the answer began, each
-   *   line ended by CR LF. */
+  /** Sends a chunk of the body. Precondition: Begin was called and End was not.
+   */
+  Task<bool> Write(std::string aChunk);
+  /** Ends the body. Without this call the receiver treats the response as
+   * truncated.
+   * \param aTrailers header fields that were not known at Begin, each line
+   * ended by CR LF. */
   Task<bool> End(std::string aTrailers = {});
 
-  /** Calls aOnGone once if the receiver hangs up before the answer has ended,
-   * so that work done for it can be stopped. Precondition: called once, before
-   * anything is sent; aOnGone may be called until this object is gone. */
-  void NotifyOnDisconnect(std::function<void()> aOnGone);
-  /** The connection carries no request after this one. */
+  /** Calls aOnDisconnect once if the receiver disconnects before the response
+   * has ended, so that work for it can be stopped. Precondition: called once,
+   * before anything is sent. aOnDisconnect may be called until this object is
+   * destroyed. */
+  void NotifyOnDisconnect(std::function<void()> aOnDisconnect);
+  /** Closes the connection after this response. */
   void DisableKeepAlive() { this->keepAlive = false; }
 
   [[nodiscard]] bool Started() const { return this->started; }
-  /** Whether the connection may carry another request. */
+  /** Whether the connection may serve another request. */
   [[nodiscard]] bool IsConnectionReusable() const
   {
     return this->keepAlive && this->ended && !this->writeFailed;
   }
 
 private:
-  /** What outlives the responder while the socket is still being watched. */
+  /** State of the wait on the socket, which may outlive the responder. */
   struct DisconnectWatch
   {
     std::function<void()> onDisconnect;
--- a/src/edge/HttpServer.cpp
+++ b/src/edge/HttpServer.cpp
@@ -29,17 +29,18 @@
   ScopedCount& operator=(const ScopedCount&) = delete;
 };
 
-/** Ends a read after a time without closing the connection, as the stream's
- * own limit would: a sender that is too slow is still to be told so. */
+/** Cancels a read after a timeout, but keeps the connection open. The stream's
+ * own timeout would close it, but a sender that is too slow must still get the
+ * response that says so. */
 class ReadTimeout
 {
 public:
   ReadTimeout(boost::beast::tcp_stream& aStream,
-              std::chrono::milliseconds aTime)
+              std::chrono::milliseconds aTimeout)
     : timer(aStream.get_executor())
     , timedOut(std::make_shared<bool>(false))
   {
-    this->timer.expires_after(aTime);
+    this->timer.expires_after(aTimeout);
     this->timer.async_wait([flag = this->timedOut,
                             &aStream](const boost::system::error_code& aError) {
       if (!aError) {
@@ -52,7 +53,7 @@
   [[nodiscard]] bool HasTimedOut() const { return *this->timedOut; }
 
 private:
-  net::steady_timer timer; // its destruction cancels the wait
+  net::steady_timer timer; // destroying it cancels the wait
   std::shared_ptr<bool> timedOut;
 };
 
@@ -71,7 +72,7 @@
   return 400;
 }
 
-/** Nothing more can be said to a peer that has hung up or sent nothing. */
+/** Whether the peer has disconnected, so that it can't get a response. */
 bool
 IsPeerClosed(const boost::system::error_code& aError)
 {
@@ -134,7 +135,7 @@
       if (wait == nullptr) {
         continue;
       }
-      // Whether it still waits is known on its own worker only.
+      // Only the connection's own worker may check whether it still waits.
       net::post(wait->executor, [wait] {
         if (wait->stream != nullptr) {
           wait->stream->close();
@@ -160,7 +161,7 @@
       break;
     }
     if (error) {
-      // Out of descriptors: give the open connections time to end.
+      // For example out of file descriptors: wait for connections to close.
       co_await Sleep(std::chrono::milliseconds(20));
       continue;
     }
@@ -175,9 +176,9 @@
   aSocket.set_option(tcp::no_delay(true), ignored);
   boost::beast::tcp_stream stream(std::move(aSocket));
   boost::beast::flat_buffer buffer;
-  bool more = true;
-  while (more && !this->closing) {
-    more = co_await this->ServeRequest(aWorker, stream, buffer);
+  bool keepOpen = true;
+  while (keepOpen && !this->closing) {
+    keepOpen = co_await this->ServeRequest(aWorker, stream, buffer);
   }
   stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
@@ -193,14 +194,14 @@
   parser.body_limit(this->limits.maxBodyBytes);
   if (aBuffer.size() == 0) {
     aStream.expires_after(this->limits.idleTimeout);
-    const auto waiting = this->RegisterIdleWait(aStream);
-    const std::size_t first = co_await aStream.async_read_some(
+    const auto idleWait = this->RegisterIdleWait(aStream);
+    const std::size_t received = co_await aStream.async_read_some(
       aBuffer.prepare(4096), net::redirect_error(net::use_awaitable, error));
-    waiting->stream = nullptr;
+    idleWait->stream = nullptr;
     if (error) {
       co_return false;
     }
-    aBuffer.commit(first);
+    aBuffer.commit(received);
   }
   aStream.expires_never();
   {
@@ -220,8 +221,8 @@
   aStream.expires_never();
   const ScopedCount counted(this->inProgress);
   const HttpRequest request = parser.release();
-  const bool last = this->closing || this->closeAnnounced;
-  HttpResponder responder(aStream, request.keep_alive() && !last);
+  const bool closeAfter = this->closing || this->closeAnnounced;
+  HttpResponder responder(aStream, request.keep_alive() && !closeAfter);
   co_await this->handler(aWorker, request, responder);
   co_return responder.IsConnectionReusable();
 }
@@ -233,10 +234,10 @@
   HttpResponder responder(aStream, false);
   const std::string body = R"({"error":{"type":"bad_request","message":")" +
                            aError.message() + "\"}}\n";
-  HttpResponse reply = MakeResponse(StatusOf(aError), body);
-  reply.set("Toucanshed-Outcome", "not-run");
-  this->limits.onRejection(reply);
-  co_await responder.Send(std::move(reply));
+  HttpResponse response = MakeResponse(StatusOf(aError), body);
+  response.set("Toucanshed-Outcome", "not-run");
+  this->limits.onRejection(response);
+  co_await responder.Send(std::move(response));
 }
 
 } // namespace toucanshed
--- a/src/edge/HttpServer.h
+++ b/src/edge/HttpServer.h
@@ -1,5 +1,5 @@
 /** \file
- * Accepts HTTP connections and hands whole requests to one handler.
+ * Accepts HTTP connections and passes complete requests to one handler.
  */
 #pragma once
 
@@ -17,26 +17,27 @@
 
 namespace toucanshed {
 
-/** What a peer may send before it is refused. */
+/** Limits for the requests of a peer. */
 struct HttpLimits
 {
   std::uint32_t maxHeaderBytes = 16384;
   std::uint64_t maxBodyBytes = 1U << 20U;
-  /** Time for a request to arrive whole once its first byte is there. */
+  /** Time from the first byte of a request until it must be complete. */
   std::chrono::milliseconds requestTimeout{ 10000 };
   std::chrono::milliseconds idleTimeout{ 60000 };
-  /** Completes the refusals that are made before a handler is asked. */
+  /** Completes the responses that reject bad input before the handler runs. */
   std::function<void(HttpResponse&)> onRejection = [](HttpResponse&) {};
 };
 
-/** Answers one request through the responder. */
+/** Handles one request and responds through the responder. */
 using HttpHandler =
   std::function<Task<void>(Worker&, const HttpRequest&, HttpResponder&)>;
 
 /**
- * Bad input is answered here and never reaches the handler: a head over the
- * limit with 431, a body over it with 413, a slow or half request with 408,
- * anything that is not HTTP with 400. Other connections go on undisturbed.
+ * The server rejects bad input itself, so that it never reaches the handler: a
+ * head over the limit with 431, a body over the limit with 413, a slow or
+ * incomplete request with 408, other input that is not HTTP with 400. Other
+ * connections are not affected.
  *
  * Thread safety: Close and InProgress may be called from any thread.
  */
@@ -45,26 +46,28 @@
 public:
   HttpServer(WorkerPool& aPool, HttpLimits aLimits, HttpHandler aHandler);
 
-  /** Binds and starts to accept. */
+  /** Binds and starts to accept connections. */
   Result<void> Listen(const Endpoint& aEndpoint);
-  /** From now on each answer says that its connection closes after it, while
-   * new connections are still accepted: the balancer sends some for a while. */
+  /** From now on each response announces that its connection closes after it.
+   * New connections are still accepted, as the load balancer opens some for a
+   * while. */
   void AnnounceClose() { this->closeAnnounced = true; }
-  /** Bounds for requests that arrive from now on. Precondition: called on the
-   * worker that accepts. */
+  /** Sets the limits for requests that arrive from now on. Precondition: called
+   * on the worker that accepts. */
   void SetLimits(HttpLimits aLimits) { this->limits = std::move(aLimits); }
-  /** Stops accepting and closes connections that wait for a request: one read
-   * after this would be begun without the time to end it. Requests in progress
-   * go on; each connection closes after its answer. */
+  /** Stops accepting and closes connections that wait for a request: there
+   * might be no time to complete a request that is read after this. Requests in
+   * progress continue, and each connection closes after its response. */
   void Close();
-  /** Requests that have arrived whole and are not yet answered. */
+  /** Number of requests that have arrived completely and are not handled yet.
+   */
   [[nodiscard]] std::size_t InProgress() const { return *this->inProgress; }
 
 private:
   /** A connection that waits for the first byte of a request. */
   struct IdleWait
   {
-    boost::beast::tcp_stream* stream = nullptr; // null once the byte is there
+    boost::beast::tcp_stream* stream = nullptr; // null once it has arrived
     boost::asio::any_io_executor executor;
   };
 
@@ -82,11 +85,11 @@
   HttpLimits limits;
   HttpHandler handler;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor;
-  /** Shared with the requests, which may outlive the server when their worker
-   * is taken down. */
+  /** Shared with the requests, which may outlive the server while their worker
+   * is destroyed. */
   std::shared_ptr<std::atomic<std::size_t>> inProgress =
     std::make_shared<std::atomic<std::size_t>>(0);
-  std::mutex idleMutex; // guards idle, not what it points to
+  std::mutex idleMutex; // guards idleWaits, not the objects it points to
   std::list<std::weak_ptr<IdleWait>> idleWaits;
   std::atomic<bool> closing{ false };
   std::atomic<bool> closeAnnounced{ false };
--- a/src/edge/HttpTypes.cpp
+++ b/src/edge/HttpTypes.cpp
@@ -24,11 +24,11 @@
 HttpResponse
 MakeResponse(unsigned aStatus, std::string aBody, std::string_view aContentType)
 {
-  HttpResponse reply{ http::int_to_status(aStatus), kHttp11 };
-  reply.result(aStatus);
-  reply.set(http::field::content_type, aContentType);
-  reply.body() = std::move(aBody);
-  return reply;
+  HttpResponse response{ http::int_to_status(aStatus), kHttp11 };
+  response.result(aStatus);
+  response.set(http::field::content_type, aContentType);
+  response.body() = std::move(aBody);
+  return response;
 }
 
 std::string
--- a/src/edge/InstanceList.cpp
+++ b/src/edge/InstanceList.cpp
@@ -33,15 +33,16 @@
   HttpRequest request = MakeRequest(http::verb::get, "/instances");
   CallTimeouts timeouts;
   timeouts.head = std::chrono::milliseconds(1000);
-  const auto reply =
+  const auto response =
     co_await Fetch(aWorker, aEndpoint, std::move(request), timeouts);
-  if (!reply || reply->result_int() != 200) {
-    co_return Fail(ErrorCode::eUnavailable, "no instance list");
+  if (!response || response->result_int() != 200) {
+    co_return Fail(ErrorCode::eUnavailable, "cannot fetch the instance list");
   }
   boost::system::error_code error;
-  const auto parsed = boost::json::parse(reply->body(), error);
+  const auto parsed = boost::json::parse(response->body(), error);
   if (error || !parsed.is_array()) {
-    co_return Fail(ErrorCode::eProtocol, "instance list is no array");
+    co_return Fail(ErrorCode::eProtocol,
+                   "instance list: expected a JSON array");
   }
   InstanceList list;
   for (const auto& entry : parsed.as_array()) {
--- a/src/edge/InstanceList.h
+++ b/src/edge/InstanceList.h
@@ -1,5 +1,6 @@
 /** \file
- * The platform's lagging list of instances.
+ * Client for the platform's list of instances, which lags behind their actual
+ * state.
  */
 #pragma once
 
@@ -15,14 +16,14 @@
 
 struct Worker;
 
-/** What the list says, sorted by what the daemon does with it. */
+/** The list's entries, grouped by role. */
 struct InstanceList
 {
   std::vector<EngineReport> backends;
   std::vector<std::string> peerAddresses; // peer ports of other daemons
 };
 
-/** Reads the list once. */
+/** Fetches the list once. */
 Task<Result<InstanceList>>
 FetchInstanceList(Worker& aWorker, Endpoint aEndpoint);
 
--- a/src/edge/Json.cpp
+++ b/src/edge/Json.cpp
@@ -34,8 +34,8 @@
   if (value->is_uint64()) {
     return value->as_uint64();
   }
-  const bool natural = value->is_int64() && value->as_int64() >= 0;
-  return natural ? static_cast<std::uint64_t>(value->as_int64()) : 0;
+  const bool nonNegative = value->is_int64() && value->as_int64() >= 0;
+  return nonNegative ? static_cast<std::uint64_t>(value->as_int64()) : 0;
 }
 
 bool
--- a/src/edge/Json.h
+++ b/src/edge/Json.h
@@ -1,6 +1,6 @@
 /** \file
- * Reading of small JSON objects from other processes: a field that is missing
- * or of another type reads as empty.
+ * Accessors for the fields of small JSON objects from other processes. A field
+ * that is missing or has another type reads as empty.
  */
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace toucanshed {
 
-/** Nothing when the text is not one JSON object. */
+/** Parses a JSON object; nothing if the text is not exactly one JSON object. */
 std::optional<boost::json::object>
 ParseJsonObject(std::string_view aText);
 
 std::string
 StringOf(const boost::json::object& aObject, std::string_view aName);
 
-/** Negative numbers and fractions read as 0. */
+/** Returns an unsigned integer. Negative numbers and fractions read as 0. */
 std::uint64_t
 NumberOf(const boost::json::object& aObject, std::string_view aName);
 
--- a/src/edge/LogClient.cpp
+++ b/src/edge/LogClient.cpp
@@ -21,14 +21,15 @@
                                     "application/x-protobuf");
   CallTimeouts timeouts;
   timeouts.head = std::chrono::milliseconds(1000);
-  const auto reply =
+  const auto response =
     co_await Fetch(aWorker, aEndpoint, std::move(request), timeouts);
-  if (!reply) {
-    co_return Fail(ErrorCode::eUnavailable, reply.error().message);
+  if (!response) {
+    co_return Fail(ErrorCode::eUnavailable, response.error().message);
   }
-  if (reply->result_int() != kOk) {
+  if (response->result_int() != kOk) {
     co_return Fail(ErrorCode::eUnavailable,
-                   "log answered " + std::to_string(reply->result_int()));
+                   "log responded with status " +
+                     std::to_string(response->result_int()));
   }
   co_return Result<void>{};
 }
@@ -46,15 +47,16 @@
   HttpRequest request = MakeRequest(http::verb::get, target);
   CallTimeouts timeouts;
   timeouts.head = aWait + std::chrono::milliseconds(1000);
-  const auto reply =
+  const auto response =
     co_await Fetch(aWorker, aEndpoint, std::move(request), timeouts);
   records::LogPage page;
-  const bool read =
-    reply && reply->result_int() == kOk && page.ParseFromString(reply->body());
-  if (!read) {
+  const bool isValid = response && response->result_int() == kOk &&
+                       page.ParseFromString(response->body());
+  if (!isValid) {
     co_return Fail(ErrorCode::eUnavailable,
-                   reply ? "log answered " + std::to_string(reply->result_int())
-                         : reply.error().message);
+                   response ? "log responded with status " +
+                                std::to_string(response->result_int())
+                            : response.error().message);
   }
   co_return page;
 }
@@ -64,19 +66,19 @@
 LogClient
 MakeHttpLogClient(const Endpoint& aEndpoint)
 {
-  LogClient access;
-  access.append = [aEndpoint](Worker& aWorker,
+  LogClient client;
+  client.append = [aEndpoint](Worker& aWorker,
                               std::string aStream,
                               std::string aPayload) {
     return Append(aWorker, aEndpoint, std::move(aStream), std::move(aPayload));
   };
-  access.read = [aEndpoint](Worker& aWorker,
+  client.read = [aEndpoint](Worker& aWorker,
                             std::string aStream,
                             std::uint64_t aFrom,
                             std::chrono::milliseconds aWait) {
     return Read(aWorker, aEndpoint, std::move(aStream), aFrom, aWait);
   };
-  return access;
+  return client;
 }
 
 } // namespace toucanshed
--- a/src/edge/LogClient.h
+++ b/src/edge/LogClient.h
@@ -1,5 +1,5 @@
 /** \file
- * The platform's append-only log, as the daemon uses it.
+ * Client for the platform's append-only log.
  */
 #pragma once
 
@@ -18,8 +18,8 @@
 struct Worker;
 
 /**
- * Only append and reading from an offset are assumed. An append that fails
- * may have taken effect all the same.
+ * The log only has to support appending and reading from an offset. A failed
+ * append may have taken effect nevertheless.
  *
  * Thread safety: the hooks may be called on any worker.
  */
@@ -27,8 +27,8 @@
 {
   /** Appends one payload. */
   std::function<Task<Result<void>>(Worker&, std::string, std::string)> append;
-  /** Reads a stream from an offset; waits up to the given time when there is
-   * nothing yet. */
+  /** Reads a stream from an offset. If there is no record yet, waits up to the
+   * given time. */
   std::function<Task<Result<records::LogPage>>(Worker&,
                                                std::string,
                                                std::uint64_t,
@@ -36,7 +36,7 @@
     read;
 };
 
-/** The log over HTTP with protobuf pages. */
+/** Creates a client that uses HTTP and reads pages in protobuf format. */
 LogClient
 MakeHttpLogClient(const Endpoint& aEndpoint);
 
--- a/src/edge/Metrics.cpp
+++ b/src/edge/Metrics.cpp
@@ -10,11 +10,11 @@
 LatencyAxis()
 {
   constexpr unsigned kBuckets = 24;
-  constexpr double kLeastMs = 1;
-  constexpr double kMostMs = 60000;
+  constexpr double kMinMs = 1;
+  constexpr double kMaxMs = 60000;
   return boost::histogram::axis::
     regular<double, boost::histogram::axis::transform::log>(
-      kBuckets, kLeastMs, kMostMs);
+      kBuckets, kMinMs, kMaxMs);
 }
 
 } // namespace
@@ -56,19 +56,20 @@
   std::ostringstream text;
   text << "# TYPE " << aName << " histogram\n";
   double sum = 0;
-  std::uint64_t below = 0;
+  std::uint64_t cumulativeCount = 0;
   const auto& axis = aHistogram.axis();
   for (int i = -1; i < axis.size(); ++i) {
     const auto count = static_cast<std::uint64_t>(aHistogram.at(i));
-    below += count;
-    const double edge = axis.value(i + 1);
-    sum += static_cast<double>(count) * edge;
-    text << aName << "_bucket{le=\"" << edge << "\"} " << below << "\n";
+    cumulativeCount += count;
+    const double upperBound = axis.value(i + 1);
+    sum += static_cast<double>(count) * upperBound;
+    text << aName << "_bucket{le=\"" << upperBound << "\"} " << cumulativeCount
+         << "\n";
   }
-  below += static_cast<std::uint64_t>(aHistogram.at(axis.size()));
-  text << aName << "_bucket{le=\"+Inf\"} " << below << "\n"
+  cumulativeCount += static_cast<std::uint64_t>(aHistogram.at(axis.size()));
+  text << aName << "_bucket{le=\"+Inf\"} " << cumulativeCount << "\n"
        << aName << "_sum " << sum << "\n"
-       << aName << "_count " << below << "\n";
+       << aName << "_count " << cumulativeCount << "\n";
   aText += text.str();
 }
 
@@ -77,12 +78,12 @@
 {
   const std::lock_guard<std::mutex> lock(this->mutex);
   std::string text;
-  std::string last;
+  std::string previousName;
   for (const auto& [key, value] : this->counters) {
     const auto& [name, labels] = key;
-    if (name != last) {
+    if (name != previousName) {
       text += "# TYPE " + name + " counter\n";
-      last = name;
+      previousName = name;
     }
     text += name + (labels.empty() ? "" : "{" + labels + "}") + " " +
             std::to_string(value) + "\n";
--- a/src/edge/Metrics.h
+++ b/src/edge/Metrics.h
@@ -1,5 +1,5 @@
 /** \file
- * What the daemon counts, in the Prometheus text format.
+ * The daemon's counters and histograms, exported in the Prometheus text format.
  */
 #pragma once
 
@@ -17,14 +17,15 @@
 public:
   Metrics();
 
-  /** Adds to a counter. \param aLabels as in `team="crews"`, or empty. */
+  /** Adds aAdd to a counter.
+   * \param aLabels as in `team="crews"`, or empty. */
   void Count(const std::string& aName,
              const std::string& aLabels = {},
              std::uint64_t aAdd = 1);
   void RecordFirstToken(double aMilliseconds);
   void RecordTokenGap(double aMilliseconds);
 
-  /** All counters and histograms as text. */
+  /** Formats all counters and histograms. */
   std::string ToPrometheusText();
 
 private:
--- a/src/edge/Notifier.cpp
+++ b/src/edge/Notifier.cpp
@@ -11,37 +11,37 @@
 void
 Notifier::NotifyAll()
 {
-  std::list<WaitingCoroutine> woken;
+  std::list<WaitingCoroutine> toWake;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
     ++this->version;
-    woken.swap(this->waiting);
+    toWake.swap(this->waiting);
   }
-  for (const WaitingCoroutine& sleeper : woken) {
-    net::post(sleeper.worker->context,
-              [timer = sleeper.timer] { timer->cancel(); });
+  for (const WaitingCoroutine& waiter : toWake) {
+    net::post(waiter.worker->context,
+              [timer = waiter.timer] { timer->cancel(); });
   }
 }
 
 Task<void>
-Notifier::WaitForChange(std::uint64_t aSeen,
+Notifier::WaitForChange(std::uint64_t aSeenVersion,
                         Worker& aWorker,
-                        std::chrono::milliseconds aLimit)
+                        std::chrono::milliseconds aTimeout)
 {
   auto timer = std::make_shared<net::steady_timer>(aWorker.context);
-  timer->expires_after(aLimit);
+  timer->expires_after(aTimeout);
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    if (this->version != aSeen) {
+    if (this->version != aSeenVersion) {
       co_return;
     }
     this->waiting.push_back(WaitingCoroutine{ &aWorker, timer });
   }
-  boost::system::error_code woken;
-  co_await timer->async_wait(net::redirect_error(net::use_awaitable, woken));
+  boost::system::error_code ignored;
+  co_await timer->async_wait(net::redirect_error(net::use_awaitable, ignored));
   const std::lock_guard<std::mutex> lock(this->mutex);
   this->waiting.remove_if(
-    [&](const WaitingCoroutine& aSleeper) { return aSleeper.timer == timer; });
+    [&](const WaitingCoroutine& aWaiter) { return aWaiter.timer == timer; });
 }
 
 } // namespace toucanshed
--- a/src/edge/Notifier.h
+++ b/src/edge/Notifier.h
@@ -17,22 +17,26 @@
 /**
  * \code
  * const auto seen = notifier.Version();
- * if (!table.With(...)) { co_await notifier.WaitSince(seen, worker, limit); }
+ * if (!table.WithLock(...)) {
+ *   co_await notifier.WaitForChange(seen, worker, timeout);
+ * }
  * \endcode
  *
- * Reading the version before the table means that a change in between is not
- * slept through. Thread safety: all methods may be called from any thread;
- * WaitSince on the given worker.
+ * The version must be read before the table. Then a change between the two
+ * reads is not missed.
+ *
+ * Thread safety: all methods may be called from any thread, WaitForChange only
+ * on the given worker.
  */
 class Notifier
 {
 public:
   [[nodiscard]] std::uint64_t Version() const { return this->version; }
   void NotifyAll();
-  /** Returns once the version differs from aSeen, or after aLimit. */
-  Task<void> WaitForChange(std::uint64_t aSeen,
+  /** Returns once the version differs from aSeenVersion, or after aTimeout. */
+  Task<void> WaitForChange(std::uint64_t aSeenVersion,
                            Worker& aWorker,
-                           std::chrono::milliseconds aLimit);
+                           std::chrono::milliseconds aTimeout);
 
 private:
   struct WaitingCoroutine
--- a/src/edge/PeerSocket.cpp
+++ b/src/edge/PeerSocket.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/** Messages that wait for one peer; more are dropped. */
+/** Maximum number of messages queued for one peer; further ones are dropped. */
 constexpr int kSendHighWaterMark = 200;
-/** Connections to peers kept open; the least recently used one goes. */
+/** Maximum number of open connections to peers. Beyond it, the least recently
+ * used one is closed. */
 constexpr std::size_t kMaxConnections = 64;
 constexpr const char* kSendQueueAddress = "inproc://toucanshed.peer.wake";
 constexpr const char* kZapAddress = "inproc://zeromq.zap.01";
@@ -30,7 +31,8 @@
   zmq::socket_t incoming{ context, zmq::socket_type::router };
   zmq::socket_t sendQueueOutput{ context, zmq::socket_type::pull };
   zmq::socket_t auth{ context, zmq::socket_type::rep };
-  std::mutex sendQueueMutex; // guards wakeOut, which Send uses from any thread
+  /** Guards sendQueueInput, as Send runs on any thread. */
+  std::mutex sendQueueMutex;
   zmq::socket_t sendQueueInput{ context, zmq::socket_type::push };
   std::map<std::string, Connection> outgoing;
   std::uint64_t useCounter = 0;
@@ -98,13 +100,13 @@
     aKeys.publicKey == text.data();
   aTraffic.rejectedHandshakes += known ? 0 : 1;
   const std::string id = frames.size() > kIdFrame ? frames[kIdFrame] : "";
-  const std::array<std::string, 6> answer{
+  const std::array<std::string, 6> response{
     "1.0", id, known ? "200" : "400", known ? "OK" : "unknown key", "", ""
   };
-  for (std::size_t i = 0; i < answer.size(); ++i) {
-    const auto flags =
-      i + 1 < answer.size() ? zmq::send_flags::sndmore : zmq::send_flags::none;
-    this->auth.send(zmq::buffer(answer.at(i)), flags);
+  for (std::size_t i = 0; i < response.size(); ++i) {
+    const auto flags = i + 1 < response.size() ? zmq::send_flags::sndmore
+                                               : zmq::send_flags::none;
+    this->auth.send(zmq::buffer(response.at(i)), flags);
   }
 }
 
@@ -182,11 +184,11 @@
     if ((items[0].revents & ZMQ_POLLIN) != 0) {
       zmq::message_t identity;
       zmq::message_t body;
-      const bool whole =
+      const bool complete =
         all.incoming.recv(identity, zmq::recv_flags::dontwait) &&
         identity.more() && all.incoming.recv(body);
       peer::Envelope envelope;
-      if (whole &&
+      if (complete &&
           envelope.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
         ++this->traffic.messagesReceived;
         this->traffic.bytesReceived += body.size();
@@ -194,14 +196,14 @@
       }
     }
     if ((items[1].revents & ZMQ_POLLIN) != 0) {
-      zmq::message_t target;
+      zmq::message_t destination;
       zmq::message_t body;
-      static_cast<void>(all.sendQueueOutput.recv(target));
-      all.stopping = !target.more();
+      static_cast<void>(all.sendQueueOutput.recv(destination));
+      all.stopping = !destination.more();
       if (!all.stopping && all.sendQueueOutput.recv(body)) {
         ++this->traffic.messagesSent;
         this->traffic.bytesSent += body.size();
-        all.SocketFor(target.to_string(), this->keys)
+        all.SocketFor(destination.to_string(), this->keys)
           .send(body, zmq::send_flags::dontwait);
       }
     }
--- a/src/edge/PeerSocket.h
+++ b/src/edge/PeerSocket.h
@@ -1,5 +1,5 @@
 /** \file
- * Sends and receives the daemons' messages to each other over ZeroMQ.
+ * Sends and receives messages between daemons over ZeroMQ.
  */
 #pragma once
 
@@ -15,14 +15,15 @@
 
 namespace toucanshed {
 
-/** Keys of the peer port, in Z85 text; empty for a port in clear. */
+/** CURVE key pair of the peer port, encoded as Z85; empty for an unencrypted
+ * port. */
 struct PeerKeys
 {
   std::string publicKey;
   std::string secretKey;
 };
 
-/** What has passed the port since the start. */
+/** Traffic of the port since the start of the process. */
 struct PeerTraffic
 {
   std::atomic<std::uint64_t> messagesSent{ 0 };
@@ -33,10 +34,10 @@
 };
 
 /**
- * One thread owns all ZeroMQ sockets. Messages are one envelope each, sent
- * without waiting; one to a daemon that cannot be reached is dropped, as a
- * probe is worth nothing once it is old. With keys, a peer must both know this
- * port's public key and own the secret key that belongs to it.
+ * One thread owns all ZeroMQ sockets. Each message is one envelope and is sent
+ * without waiting. If a daemon can't be reached, messages to it are dropped, as
+ * an old probe has no use. With keys, a peer must both know this port's public
+ * key and own the matching secret key.
  *
  * Thread safety: Send may be called from any thread. The receiver is called on
  * the socket's own thread and must not block.
--- a/src/edge/Task.h
+++ b/src/edge/Task.h
@@ -1,5 +1,5 @@
 /** \file
- * The coroutine type of everything that waits on a socket or timer.
+ * The coroutine type for functions that wait for a socket or a timer.
  */
 #pragma once
 
--- a/src/edge/Worker.cpp
+++ b/src/edge/Worker.cpp
@@ -25,7 +25,7 @@
   try {
     std::rethrow_exception(aException);
   } catch (const std::exception& error) {
-    BrokenInvariant(std::string("coroutine ended by exception: ") +
+    BrokenInvariant(std::string("coroutine threw an exception: ") +
                     error.what());
   }
 }
--- a/src/edge/Worker.h
+++ b/src/edge/Worker.h
@@ -1,5 +1,5 @@
 /** \file
- * One thread of the pool with its event loop and its own idle connections.
+ * One thread of the pool, with its own event loop and its own idle connections.
  */
 #pragma once
 
@@ -11,8 +11,8 @@
 namespace toucanshed {
 
 /**
- * A connection stays with the worker that opened it, so sockets and their
- * timers need no strand; only the tables are shared between workers.
+ * A connection belongs to the worker that opened it, so sockets and their
+ * timers need no strand. Workers share only the tables.
  *
  * Thread safety: Spawn may be called from any thread; everything else belongs
  * to the worker's own thread.
@@ -22,12 +22,12 @@
   boost::asio::io_context context{ 1 };
   HttpConnectionPool connectionPool{ context };
 
-  /** Starts a coroutine on this worker. An exception that leaves it is a
-   * broken invariant and stops the process. */
+  /** Starts a coroutine on this worker. An exception that it throws is a
+   * broken invariant and aborts the process. */
   void Spawn(Task<void> aTask);
 };
 
-/** Suspends the calling coroutine. */
+/** Suspends the calling coroutine for aDelay. */
 Task<void>
 Sleep(std::chrono::milliseconds aDelay);
 
--- a/src/edge/WorkerPool.cpp
+++ b/src/edge/WorkerPool.cpp
@@ -22,7 +22,7 @@
 {
   std::vector<std::thread> threads;
   const auto runOne = [](Worker& aWorker) {
-    aWorker.context.restart(); // it may have been stopped before
+    aWorker.context.restart(); // Stop may have been called before
     const auto guard = boost::asio::make_work_guard(aWorker.context);
     aWorker.context.run();
   };
--- a/src/edge/WorkerPool.h
+++ b/src/edge/WorkerPool.h
@@ -1,5 +1,5 @@
 /** \file
- * The fixed pool of workers.
+ * A pool with a fixed number of workers.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
   /** Precondition: aCount > 0. */
   explicit WorkerPool(std::size_t aCount);
 
-  /** Workers in turn, for spreading connections. */
+  /** Returns the workers in turn, to spread connections over them. */
   Worker& Next();
   Worker& First() { return *this->workers.front(); }
   [[nodiscard]] const std::vector<std::unique_ptr<Worker>>& All() const
@@ -27,7 +27,7 @@
     return this->workers;
   }
 
-  /** Runs all workers until Stop; the first runs on the calling thread. */
+  /** Runs all workers until Stop. The first one runs on the calling thread. */
   void Run();
   void Stop();
 
