--- a/standin/platform/Cloud.cpp
+++ b/standin/platform/Cloud.cpp
@@ -20,8 +20,8 @@
     this->highestFence = call.fence;
     this->accepted.push_back(std::move(call));
   }
-  HttpResponse reply = MakeResponse(status, "{}");
-  co_await aResponder.Send(std::move(reply));
+  HttpResponse response = MakeResponse(status, "{}");
+  co_await aResponder.Send(std::move(response));
 }
 
 } // namespace toucanshed::standin
--- a/standin/platform/Cloud.h
+++ b/standin/platform/Cloud.h
@@ -1,5 +1,5 @@
 /** \file
- * A small stand-in for the platform's calls that are one daemon's duty.
+ * A stand-in for the platform's cloud, which serves the calls that are a duty.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace toucanshed::standin {
 
-/** One call that was accepted. */
+/** A call that was accepted. */
 struct CloudCall
 {
   std::string path;
@@ -28,7 +28,7 @@
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
   std::vector<CloudCall> accepted;
-  std::size_t rejectedForFence = 0; // calls refused for a lower fence
+  std::size_t rejectedForFence = 0; // calls rejected for an outdated fence
 
 private:
   std::uint64_t highestFence = 0;
--- a/standin/platform/Engine.cpp
+++ b/standin/platform/Engine.cpp
@@ -19,19 +19,19 @@
 PlatformEngine::MakeResponseHead(const HttpRequest& aRequest,
                                  unsigned aStatus) const
 {
-  HttpResponse reply =
+  HttpResponse response =
     MakeResponse(aStatus, "body of " + this->id, "text/plain");
-  reply.set("Attempt-Id", HeaderOf(aRequest, "Attempt-Id"));
-  reply.set("Response-Seal", "seal-of-" + this->id);
+  response.set("Attempt-Id", HeaderOf(aRequest, "Attempt-Id"));
+  response.set("Response-Seal", "seal-of-" + this->id);
   if (!this->rateLimit.empty()) {
-    reply.set("Server-Limit", this->rateLimit);
+    response.set("Server-Limit", this->rateLimit);
   }
-  return reply;
+  return response;
 }
 
 Task<void>
 PlatformEngine::Stream(const HttpRequest& aRequest,
-                       ScriptedResponse aStep,
+                       ScriptedResponse aScripted,
                        HttpResponder& aResponder)
 {
   HttpResponse head = this->MakeResponseHead(aRequest, 200);
@@ -39,54 +39,56 @@
   co_await aResponder.Begin(std::move(head));
   const std::string resume = HeaderOf(aRequest, "Last-Event-Id");
   std::uint64_t next = resume.empty() ? 0 : std::stoull(resume) + 1;
-  const bool cut = aStep.kind == ScriptedResponse::Kind::eDisconnectAfter;
-  const std::uint64_t end =
-    cut ? next + aStep.eventsBeforeDisconnect : this->eventsPerStream;
+  const bool disconnects =
+    aScripted.kind == ScriptedResponse::Kind::eDisconnectAfter;
+  const std::uint64_t end = disconnects
+                              ? next + aScripted.eventsBeforeDisconnect
+                              : this->eventsPerStream;
   for (; next < end; ++next) {
     std::string event = "id: " + std::to_string(next) + "\ndata: token-" +
                         std::to_string(next) + "\n\n";
     co_await aResponder.Write(std::move(event));
   }
-  if (!cut) {
+  if (!disconnects) {
     co_await aResponder.End();
     co_return;
   }
-  if (aStep.sendsPartialEvent) {
-    std::string half = "id: " + std::to_string(next) + "\nda";
-    co_await aResponder.Write(std::move(half));
+  if (aScripted.sendsPartialEvent) {
+    std::string partialEvent = "id: " + std::to_string(next) + "\nda";
+    co_await aResponder.Write(std::move(partialEvent));
   }
 }
 
 Task<void>
 PlatformEngine::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  ReceivedRequest arrival;
-  arrival.target = std::string(aRequest.target());
-  arrival.body = aRequest.body();
+  ReceivedRequest received;
+  received.target = std::string(aRequest.target());
+  received.body = aRequest.body();
   for (const auto& field : aRequest) {
-    arrival.fields.emplace_back(field.name_string(), field.value());
+    received.fields.emplace_back(field.name_string(), field.value());
   }
-  this->receivedRequests.push_back(std::move(arrival));
-  ScriptedResponse step;
+  this->receivedRequests.push_back(std::move(received));
+  ScriptedResponse scripted;
   if (!this->scriptedResponses.empty()) {
-    step = this->scriptedResponses.front();
+    scripted = this->scriptedResponses.front();
     this->scriptedResponses.pop_front();
   }
-  HttpResponse reply = this->MakeResponseHead(aRequest, 200);
-  switch (step.kind) {
+  HttpResponse response = this->MakeResponseHead(aRequest, 200);
+  switch (scripted.kind) {
     case ScriptedResponse::Kind::eReject:
-      reply = this->MakeResponseHead(aRequest, 503);
-      reply.set("Not-Executed", "1");
+      response = this->MakeResponseHead(aRequest, 503);
+      response.set("Not-Executed", "1");
       break;
     case ScriptedResponse::Kind::eServerError:
-      reply = this->MakeResponseHead(aRequest, 500);
+      response = this->MakeResponseHead(aRequest, 500);
       break;
     case ScriptedResponse::Kind::eWrongAttempt:
-      reply.set("Attempt-Id", "somebody-else");
+      response.set("Attempt-Id", "somebody-else");
       break;
     case ScriptedResponse::Kind::eMisdirected:
-      reply = MakeResponse(421, "");
-      reply.set("Instance-Id", "another");
+      response = MakeResponse(421, "");
+      response.set("Instance-Id", "another");
       break;
     case ScriptedResponse::Kind::eHang: {
       bool gone = false;
@@ -100,12 +102,12 @@
     case ScriptedResponse::Kind::eComplete:
     case ScriptedResponse::Kind::eDisconnectAfter:
       if (this->streams) {
-        co_await this->Stream(aRequest, step, aResponder);
+        co_await this->Stream(aRequest, scripted, aResponder);
         co_return;
       }
       break;
   }
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
 } // namespace toucanshed::standin
--- a/standin/platform/Engine.h
+++ b/standin/platform/Engine.h
@@ -1,6 +1,6 @@
 /** \file
- * A small stand-in for an engine or plain service of the platform, whose next
- * answers a test sets.
+ * A stand-in for an engine or plain service of the platform. A test scripts its
+ * next responses.
  */
 #pragma once
 
@@ -14,33 +14,33 @@
 
 namespace toucanshed::standin {
 
-/** How one request is answered. */
+/** How the engine responds to one request. */
 struct ScriptedResponse
 {
   enum class Kind
   {
-    eComplete,        // with everything it asked for
-    eReject,          // 503, and that it was not run
-    eServerError,     // 500 of its own, signed
+    eComplete,        // the complete response
+    eReject,          // 503 with Not-Executed: the request was not run
+    eServerError,     // 500, signed by the engine
     eDisconnectAfter, // the connection ends after some events
-    eWrongAttempt,    // the answer of another request
-    eMisdirected,     // 421: another engine has the address
-    eHang,            // no answer, until the caller hangs up
+    eWrongAttempt,    // the response has another attempt ID
+    eMisdirected,     // 421: another engine uses the address
+    eHang,            // no response until the caller disconnects
   };
 
   Kind kind = Kind::eComplete;
-  std::uint64_t eventsBeforeDisconnect = 0; // before a cut
-  bool sendsPartialEvent = false;           // and half of the next one
+  std::uint64_t eventsBeforeDisconnect = 0; // for eDisconnectAfter
+  bool sendsPartialEvent = false;           // and half of the next event
 };
 
-/** One request as it arrived. */
+/** A request as the engine received it. */
 struct ReceivedRequest
 {
   std::string target;
   std::string body;
   std::vector<std::pair<std::string, std::string>> fields;
 
-  /** Empty when it is missing. */
+  /** Returns the value of a header field; empty if it is missing. */
   [[nodiscard]] std::string Field(std::string_view aName) const;
 };
 
@@ -55,13 +55,13 @@
 
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
-  /** Used up first to last; then everything is answered whole. */
+  /** Used from first to last. Once it is empty, each response is complete. */
   std::deque<ScriptedResponse> scriptedResponses;
   std::vector<ReceivedRequest> receivedRequests;
-  std::size_t callerDisconnects = 0; // callers that left while it was at work
+  std::size_t callerDisconnects = 0; // disconnects before the response
   bool streams = false;
-  std::string rateLimit;             // named in each answer; empty: none
-  std::uint64_t eventsPerStream = 5; // of each stream; ids run from 0
+  std::string rateLimit;             // reported in each response; empty: none
+  std::uint64_t eventsPerStream = 5; // the event IDs start at 0
 
 private:
   Task<void> Stream(const HttpRequest& aRequest,
--- a/standin/platform/Store.cpp
+++ b/standin/platform/Store.cpp
@@ -35,8 +35,8 @@
 std::string
 Base64(const std::string& aText)
 {
-  constexpr std::size_t kRoom = 4;
-  std::string text(aText.size() * 2 + kRoom, '\0');
+  constexpr std::size_t kMargin = 4;
+  std::string text(aText.size() * 2 + kMargin, '\0');
   const int size =
     EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                     reinterpret_cast<const unsigned char*>(aText.data()),
@@ -125,9 +125,9 @@
     this->AppendRecord(name, std::string(bytes.substr(kLengthBytes, length)));
     bytes.remove_prefix(kLengthBytes + length);
   }
-  const json::object answer{ { "offset", begin },
+  const json::object result{ { "offset", begin },
                              { "end", EndOf(this->topics[name]) } };
-  return MakeResponse(kOk, json::serialize(answer));
+  return MakeResponse(kOk, json::serialize(result));
 }
 
 HttpResponse
@@ -161,44 +161,47 @@
                                   { "value", Base64(entry.first) },
                                   { "offset", entry.second } });
   }
-  const json::object answer{ { "items", items },
+  const json::object result{ { "items", items },
                              { "more", false },
                              { "end", EndOf(topic) } };
-  return MakeResponse(kOk, json::serialize(answer));
+  return MakeResponse(kOk, json::serialize(result));
 }
 
 Task<void>
 PlatformStore::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
   if (this->down) {
-    HttpResponse reply = MakeResponse(503, "");
-    co_await aResponder.Send(std::move(reply));
+    HttpResponse response = MakeResponse(503, "");
+    co_await aResponder.Send(std::move(response));
     co_return;
   }
   const std::string_view path = PathOf(aRequest.target());
-  HttpResponse reply = MakeResponse(404, "");
+  HttpResponse response = MakeResponse(404, "");
   if (path == "/log-append") {
-    reply = this->Append(aRequest);
+    response = this->Append(aRequest);
     if (this->dropAppendResponses) {
-      co_return; // nothing was sent: the connection closes
+      co_return; // no response is sent, and the connection closes
     }
   } else if (path == "/log-newest") {
-    reply = this->ReadLatest(aRequest);
+    response = this->ReadLatest(aRequest);
   } else if (path == "/log-read") {
     const std::size_t before = this->reads;
-    reply = this->Read(aRequest);
-    // A reader that has all is held for as long as it asks, in small steps.
-    constexpr std::chrono::milliseconds kStep{ 10 };
-    constexpr std::size_t kHead = 16;
-    std::chrono::milliseconds left(QueryNumberOf(aRequest.target(), "wait_ms"));
-    while (reply.body().size() == kHead && left > kStep && !this->down) {
-      co_await Sleep(kStep);
-      left -= kStep;
-      reply = this->Read(aRequest);
+    response = this->Read(aRequest);
+    // A reader at the end of the topic waits for new records, up to the time
+    // that it requested. The loop checks for them every kPollInterval.
+    constexpr std::chrono::milliseconds kPollInterval{ 10 };
+    constexpr std::size_t kHeaderBytes = 16;
+    std::chrono::milliseconds remaining(
+      QueryNumberOf(aRequest.target(), "wait_ms"));
+    while (response.body().size() == kHeaderBytes &&
+           remaining > kPollInterval && !this->down) {
+      co_await Sleep(kPollInterval);
+      remaining -= kPollInterval;
+      response = this->Read(aRequest);
     }
     this->reads = before + 1;
   }
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
 } // namespace toucanshed::standin
--- a/standin/platform/Store.h
+++ b/standin/platform/Store.h
@@ -1,6 +1,6 @@
 /** \file
- * A small stand-in for the platform's store: topics in memory, read and
- * appended over HTTP, with switches for what goes wrong.
+ * A stand-in for the platform's store: topics in memory that are read and
+ * appended over HTTP, with switches that inject failures.
  */
 #pragma once
 
@@ -19,22 +19,23 @@
 class PlatformStore
 {
 public:
-  /** Answers one call. */
+  /** Handles one call. */
   Task<void> Handle(const HttpRequest& aRequest, HttpResponder& aResponder);
 
-  /** Appends a keyed record as operators and engines do. */
+  /** Appends a keyed record as operators and engines do. Without a value, it
+   * deletes the key. */
   void AppendKeyed(const std::string& aTopic,
                    const std::string& aKey,
                    const std::optional<std::string>& aValue);
   /** Appends a record as another daemon does. */
   void AppendRecord(const std::string& aTopic, const std::string& aRecord);
-  /** Drops a topic's history; the newest record of each key stays. */
+  /** Drops a topic's history; the latest record of each key is retained. */
   void DropHistory(const std::string& aTopic);
   [[nodiscard]] std::size_t RecordCount(const std::string& aTopic) const;
 
-  bool down = false;                // every call is answered with 503
-  bool dropAppendResponses = false; // appends take effect and are not answered
-  std::size_t maxRecordsPerRead = 100000; // records in one answer to a read
+  bool down = false;                // every call gets a 503
+  bool dropAppendResponses = false; // appends take effect but get no response
+  std::size_t maxRecordsPerRead = 100000; // per response to a read
   std::size_t reads = 0;
   std::size_t appends = 0;
 
--- a/test/OnWorker.h
+++ b/test/OnWorker.h
@@ -1,5 +1,6 @@
 /** \file
- * Runs one coroutine on a pool of one worker until it ends.
+ * Runs a coroutine on the first worker of a pool until it ends, and stops the
+ * pool.
  */
 #pragma once
 
--- a/test/error/HttpErrors.cpp
+++ b/test/error/HttpErrors.cpp
@@ -23,48 +23,49 @@
   return limits;
 }
 
-/** Sends raw bytes and reads until the server closes. */
+/** Sends raw bytes and reads until the server closes the connection. */
 Task<void>
 Exchange(WorkerPool& aPool,
          Endpoint aServer,
-         std::string aSent,
-         std::string& aAnswer)
+         std::string aInput,
+         std::string& aResponse)
 {
   boost::system::error_code error;
   net::ip::tcp::socket socket(aPool.First().context);
   co_await socket.async_connect(aServer,
                                 net::redirect_error(net::use_awaitable, error));
-  co_await net::async_write(
-    socket, net::buffer(aSent), net::redirect_error(net::use_awaitable, error));
+  co_await net::async_write(socket,
+                            net::buffer(aInput),
+                            net::redirect_error(net::use_awaitable, error));
   co_await net::async_read(socket,
-                           net::dynamic_buffer(aAnswer),
+                           net::dynamic_buffer(aResponse),
                            net::redirect_error(net::use_awaitable, error));
 }
 
 std::string
-ResponseTo(const std::string& aSent, std::uint16_t aPort)
+ResponseTo(const std::string& aInput, std::uint16_t aPort)
 {
   WorkerPool pool(1);
   HttpServer server(
     pool,
     TightLimits(),
     [](Worker&, const HttpRequest&, HttpResponder& aResponder) -> Task<void> {
-      HttpResponse reply = MakeResponse(200, "fine");
-      co_await aResponder.Send(std::move(reply));
+      HttpResponse message = MakeResponse(200, "fine");
+      co_await aResponder.Send(std::move(message));
     });
   const Endpoint endpoint(net::ip::make_address("127.77.0.2"), aPort);
   REQUIRE(server.Listen(endpoint));
-  std::string answer;
-  RunOn(pool, Exchange(pool, endpoint, aSent, answer));
-  return answer;
+  std::string response;
+  RunOn(pool, Exchange(pool, endpoint, aInput, response));
+  return response;
 }
 
 bool
-HasStatusAndNotRun(const std::string& aAnswer, const std::string& aStatus)
+HasStatusAndNotRun(const std::string& aResponse, const std::string& aStatus)
 {
   const bool notRun =
-    aAnswer.find("Toucanshed-Outcome: not-run") != std::string::npos;
-  return aAnswer.starts_with("HTTP/1.1 " + aStatus) && notRun;
+    aResponse.find("Toucanshed-Outcome: not-run") != std::string::npos;
+  return aResponse.starts_with("HTTP/1.1 " + aStatus) && notRun;
 }
 
 } // namespace
@@ -97,9 +98,9 @@
 
 TEST_CASE("a valid request within the limits gets 200")
 {
-  const std::string answer =
+  const std::string response =
     ResponseTo("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", 21105);
-  CHECK(answer.starts_with("HTTP/1.1 200"));
+  CHECK(response.starts_with("HTTP/1.1 200"));
 }
 
 } // namespace toucanshed::test
--- a/test/failure/PeerKeysTest.cpp
+++ b/test/failure/PeerKeysTest.cpp
@@ -19,53 +19,53 @@
   return PeerKeys{ publicKey.data(), secretKey.data() };
 }
 
-/** Waits for what other threads bring about; a bound, not a measurement. */
+/** Waits until other threads make aCondition true, for at most 10 s. */
 bool
-WaitUntil(const std::function<bool()>& aHolds)
+WaitUntil(const std::function<bool()>& aCondition)
 {
-  constexpr int kMostLooks = 1000;
-  for (int i = 0; i < kMostLooks && !aHolds(); ++i) {
+  constexpr int kMaxChecks = 1000;
+  for (int i = 0; i < kMaxChecks && !aCondition(); ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  return aHolds();
+  return aCondition();
 }
 
 } // namespace
 
 TEST_CASE("only peers with the shared key pair can send")
 {
-  // An intruder knows the port and even its public key, but holds a key pair
-  // of its own. It is refused at the handshake, and its message is never read;
-  // a peer with the right pair is heard all the while.
+  // An intruder knows the port and its public key, but has a key pair of its
+  // own. The handshake rejects it, and its message is never read. A peer with
+  // the shared key pair can still send.
   const PeerKeys keys = NewKeys();
-  std::atomic<int> heard{ 0 };
-  std::atomic<int> intruded{ 0 };
+  std::atomic<int> fromPeer{ 0 };
+  std::atomic<int> fromIntruder{ 0 };
   const std::string address = "127.77.0.4:21601";
   PeerSocket server(address, keys, [&](peer::Envelope aEnvelope) {
-    ++(aEnvelope.from().id() == "friend" ? heard : intruded);
+    ++(aEnvelope.from().id() == "friend" ? fromPeer : fromIntruder);
   });
   REQUIRE(server.Start());
 
   zmq::context_t context;
   zmq::socket_t intruder(context, zmq::socket_type::dealer);
-  const PeerKeys other = NewKeys();
+  const PeerKeys otherKeys = NewKeys();
   intruder.set(zmq::sockopt::linger, 0);
   intruder.set(zmq::sockopt::curve_serverkey, keys.publicKey);
-  intruder.set(zmq::sockopt::curve_publickey, other.publicKey);
-  intruder.set(zmq::sockopt::curve_secretkey, other.secretKey);
+  intruder.set(zmq::sockopt::curve_publickey, otherKeys.publicKey);
+  intruder.set(zmq::sockopt::curve_secretkey, otherKeys.secretKey);
   intruder.connect("tcp://" + address);
-  peer::Envelope lie;
-  lie.mutable_from()->set_id("intruder");
-  intruder.send(zmq::buffer(lie.SerializeAsString()), zmq::send_flags::none);
+  peer::Envelope forged;
+  forged.mutable_from()->set_id("intruder");
+  intruder.send(zmq::buffer(forged.SerializeAsString()), zmq::send_flags::none);
   CHECK(WaitUntil([&] { return server.Traffic().rejectedHandshakes > 0; }));
 
-  PeerSocket friendly("127.77.0.4:21602", keys, [](peer::Envelope) {});
-  REQUIRE(friendly.Start());
-  peer::Envelope hello;
-  hello.mutable_from()->set_id("friend");
-  friendly.Send(address, hello);
-  CHECK(WaitUntil([&] { return heard > 0; }));
-  CHECK(intruded == 0);
+  PeerSocket trusted("127.77.0.4:21602", keys, [](peer::Envelope) {});
+  REQUIRE(trusted.Start());
+  peer::Envelope envelope;
+  envelope.mutable_from()->set_id("friend");
+  trusted.Send(address, envelope);
+  CHECK(WaitUntil([&] { return fromPeer > 0; }));
+  CHECK(fromIntruder == 0);
 }
 
 } // namespace toucanshed::test
--- a/test/performance/RelayBenchmark.cpp
+++ b/test/performance/RelayBenchmark.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Allocations of this process, for the benchmark below. */
+/** Number of heap allocations of this process. */
 std::atomic<std::uint64_t> sAllocations{ 0 };
 
 } // namespace
@@ -48,35 +48,37 @@
 };
 
 Task<void>
-ReadStream(PlatformHarness& aWorld, RelayCost& aCost)
+ReadStream(PlatformHarness& aHarness, RelayCost& aCost)
 {
-  CallerMessage send;
-  send.path = "/report/1";
-  send.fields = { { "Deadline-Ms", "1400" } };
-  const auto began = std::chrono::steady_clock::now();
+  CallerMessage request;
+  request.path = "/report/1";
+  request.fields = { { "Deadline-Ms", "1400" } };
+  const auto start = std::chrono::steady_clock::now();
   const std::uint64_t before = sAllocations;
-  const CallerResponse seen = co_await aWorld.SendRequest(std::move(send));
-  const std::chrono::duration<double, std::nano> took =
-    std::chrono::steady_clock::now() - began;
-  aCost.nsPerEvent = took.count() / kEvents;
+  const CallerResponse response =
+    co_await aHarness.SendRequest(std::move(request));
+  const std::chrono::duration<double, std::nano> duration =
+    std::chrono::steady_clock::now() - start;
+  aCost.nsPerEvent = duration.count() / kEvents;
   aCost.allocationsPerEvent =
     static_cast<double>(sAllocations - before) / kEvents;
-  CHECK(seen.complete);
+  CHECK(response.complete);
 }
 
 } // namespace
 
 TEST_CASE("a relayed event costs few allocations")
 {
-  // The stand-in engine, the daemon and the caller share one thread, so the
-  // figures hold all three: an upper bound for the daemon's own part.
-  PlatformHarness world(22500);
-  world.AddEngine("e1", "model").eventsPerStream = kEvents;
+  // The stand-in engine, the daemon and the caller share one thread. The
+  // figures include all three, so they are an upper bound for the daemon's
+  // share.
+  PlatformHarness harness(22500);
+  harness.AddEngine("e1", "model").eventsPerStream = kEvents;
   RelayCost cost;
-  world.Run(ReadStream(world, cost));
+  harness.Run(ReadStream(harness, cost));
   std::cout << "relay: " << cost.nsPerEvent << " ns and "
             << cost.allocationsPerEvent
-            << " allocations an event, engine and caller with it\n";
+            << " allocations per event, including engine and caller\n";
   CHECK(cost.allocationsPerEvent < 60);
 }
 
