--- a/src/coord/BackendTable.cpp
+++ b/src/coord/BackendTable.cpp
@@ -10,11 +10,12 @@
 BackendTable::Put(const BackendEntry& aEntry)
 {
   Backend& backend = this->backends[aEntry.id];
-  const bool otherLife = !backend.entry.id.Empty() &&
+  const bool restarted = !backend.entry.id.Empty() &&
                          (backend.entry.incarnation != aEntry.incarnation ||
                           backend.entry.address != aEntry.address);
-  if (otherLife) {
-    const BackendLoad own = backend.localLoad; // those requests still end here
+  if (restarted) {
+    const BackendLoad own =
+      backend.localLoad; // those requests still end at this daemon
     backend = Backend{};
     backend.localLoad = own;
   }
@@ -112,22 +113,24 @@
 
 void
 BackendTable::RecordResponseStart(const InstanceId& aId,
-                                  double aSeenMs,
+                                  double aObservedMs,
                                   double aExpectedMs)
 {
-  constexpr double kNewest = 0.15; // about the last six answers count
-  constexpr double kFastest = 0.5;
-  constexpr double kSlowest = 8;
-  // Below this, differences are the network's and this daemon's own.
-  constexpr double kLeastMs = 25;
+  constexpr double kLatestWeight =
+    0.15; // averages about the last six responses
+  constexpr double kMinRatio = 0.5;
+  constexpr double kMaxRatio = 8;
+  // Below this, differences come from the network and this daemon.
+  constexpr double kMinMs = 25;
   Backend* backend = this->Find(aId);
   if (backend == nullptr) {
     return;
   }
   const double ratio =
-    std::max(aSeenMs, kLeastMs) / std::max(aExpectedMs, kLeastMs);
+    std::max(aObservedMs, kMinMs) / std::max(aExpectedMs, kMinMs);
   backend->slowness +=
-    kNewest * (std::clamp(ratio, kFastest, kSlowest) - backend->slowness);
+    kLatestWeight *
+    (std::clamp(ratio, kMinRatio, kMaxRatio) - backend->slowness);
 }
 
 void
@@ -142,9 +145,9 @@
   if (backend->consecutiveFailures < kFailuresBeforePause) {
     return;
   }
-  constexpr unsigned kMostDoublings = 3; // 400 ms to 3.2 s
+  constexpr unsigned kMaxDoublings = 3; // 400 ms to 3.2 s
   const unsigned doublings = std::min(
-    backend->consecutiveFailures - kFailuresBeforePause, kMostDoublings);
+    backend->consecutiveFailures - kFailuresBeforePause, kMaxDoublings);
   const Millis pause = std::min(kInitialPause * (1U << doublings), kMaxPause);
   backend->pausedUntil = aNow + pause;
 }
--- a/src/coord/BackendTable.h
+++ b/src/coord/BackendTable.h
@@ -1,6 +1,6 @@
 /** \file
- * The back ends that may be sent to, as the platform's list, their own answers
- * and the other daemons describe them.
+ * The known back ends, as described by the backend list, their own responses
+ * and the other daemons.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace toucanshed {
 
-/** What the list says of one back end. */
+/** A back end's entry in the backend list. */
 struct BackendEntry
 {
   InstanceId id;
@@ -26,55 +26,55 @@
   unsigned slots = 1;
   bool leaving = false;
   bool reclaimable = false;
-  std::int64_t incarnation = 0; // start of this life; a restart may keep the id
+  std::int64_t incarnation = 0; // start time; a restart may keep the id
 
   bool operator==(const BackendEntry&) const = default;
 };
 
-/** Requests that are at a back end now. */
+/** Load that requests in flight put on a back end. */
 struct BackendLoad
 {
-  std::int64_t running = 0;      // sent and not ended
-  std::int64_t promptTokens = 0; // of those whose answer has not begun
+  std::int64_t running = 0;      // requests sent and not ended
+  std::int64_t promptTokens = 0; // of requests whose response has not begun
 
   auto operator<=>(const BackendLoad&) const = default;
 };
 
-/** A back end with what this daemon knows of it. */
+/** A back end and its state as known to this daemon. */
 struct Backend
 {
   BackendEntry entry;
   BackendLoad localLoad;  // sent by this daemon
-  BackendLoad remoteLoad; // sent by the other daemons, by their last word
-  bool leaving = false;   // by the list, its own answer or another daemon
-  /** Its entry may have lapsed with the store; it is used until then. */
+  BackendLoad remoteLoad; // sent by the other daemons, as last reported
+  bool leaving = false;   // by the list, its own response or another daemon
+  /** Set when its entry is missing and may have expired in an outage of the
+   * store: it is used until then. */
   std::optional<TimePoint> graceUntil;
-  TimePoint lastSentAt;   // the last send to it; 0: none
-  double failureRate = 0; // of the newest answers, newer ones count more
-  TimePoint pausedUntil;  // not chosen before, after failures in a row
+  TimePoint lastSentAt;   // last send to it; 0: none
+  double failureRate = 0; // moving average over the latest responses
+  TimePoint pausedUntil;  // not eligible before, after consecutive failures
   unsigned consecutiveFailures = 0;
-  double slowness = 1; // time to begin, seen against expected
-  /** When something last came from it, or, if later, when it was sent something
-   * while it had nothing else to do. */
+  double slowness = 1; // observed over expected time to the start of a response
+  /** Time of the last data from it or, if later, of a send to it while it was
+   * idle. */
   TimePoint lastProgressAt;
 
-  /** Its entry is missing, and the time in which it may be listed again is
-   * over. */
+  /** Its entry is missing and the grace period has expired. */
   [[nodiscard]] bool GraceExpired(TimePoint aNow) const
   {
     return this->graceUntil && *this->graceUntil <= aNow;
   }
 
-  /** It has work of this daemon and nothing has come from it for too long: it
-   * hangs, or the path to it is dead, and more requests would hang with it. */
+  /** It has requests of this daemon and has sent nothing for kStallTimeout. It
+   * hangs or is unreachable, and more requests to it would hang too. */
   [[nodiscard]] bool IsStalled(TimePoint aNow) const
   {
     return this->localLoad.running > 0 &&
            aNow - this->lastProgressAt > kStallTimeout;
   }
 
-  /** Engines begin within some hundred ms, also behind long prompts, and give a
-   * token every few ms after that. */
+  /** Engines start a response within a few hundred milliseconds, also behind
+   * long prompts, and then send a token every few milliseconds. */
   static constexpr Millis kStallTimeout{ 900 };
 
   [[nodiscard]] std::int64_t TotalRunning() const
@@ -84,60 +84,69 @@
 };
 
 /**
- * Pointers that are given out stay good until the back end is removed, so keep
- * ids, not pointers, over a wait.
+ * Table of the known back ends.
+ *
+ * Returned pointers are valid until the back end is removed; keep ids instead
+ * of pointers across a wait.
  *
  * Thread safety: none; the owner serialises.
  */
 class BackendTable
 {
 public:
-  /** Failures in a row after which a back end is passed over for a while. */
+  /** Consecutive failures after which a back end is paused. */
   static constexpr unsigned kFailuresBeforePause = 2;
-  /** First pause; doubles up to the longest. An engine that has crashed is back
-   * after some seconds, so longer pauses would leave it idle. */
+  /** First pause; each further failure doubles it up to kMaxPause. A crashed
+   * engine is back after some seconds, so longer pauses would leave it idle. */
   static constexpr Millis kInitialPause{ 400 };
   static constexpr Millis kMaxPause{ 3200 };
 
-  /** Takes in an entry. A new life under a known id starts anew. */
+  /** Adds or updates an entry. A new incarnation under a known id resets the
+   * back end's state. */
   void Put(const BackendEntry& aEntry);
-  /** Its entry is gone.
-   * \param aUsedUntil set when the entry may have lapsed with the store; one
-   *   that said before that it leaves is dropped at once all the same */
+  /** The entry was deleted from the backend list.
+   * \param aUsedUntil set when the entry may have expired in an outage of the
+   *   store; a back end already marked as leaving is dropped at once regardless
+   */
   void Remove(const InstanceId& aId, std::optional<TimePoint> aUsedUntil);
-  /** Drops what lapsed and was not listed again in time.
-   * \return what was dropped */
+  /** Drops the back ends whose grace period has expired.
+   * \return the dropped back ends */
   std::vector<InstanceId> Expire(TimePoint aNow);
 
-  /** Its entry names no back end that may be used any more. */
+  /** The entry no longer describes a usable back end. */
   void MarkEntryUnusable(const InstanceId& aId);
-  /** It said itself, or another daemon did, that it takes nothing more. */
+  /** The back end itself or another daemon reported that it accepts no more
+   * requests. */
   void MarkLeaving(const InstanceId& aId);
-  /** An answer of use came from it. */
+  /** The back end returned a usable response. */
   void RecordSuccess(const InstanceId& aId);
-  /** Something came from it. */
+  /** The back end sent some data. */
   void RecordProgress(const InstanceId& aId, TimePoint aNow);
-  /** It began an answer after aSeenMs, where aExpectedMs were expected. */
+  /** The back end began a response after aObservedMs, where aExpectedMs were
+   * expected. */
   void RecordResponseStart(const InstanceId& aId,
-                           double aSeenMs,
+                           double aObservedMs,
                            double aExpectedMs);
-  /** It failed, or could not be reached. */
+  /** The back end failed or was unreachable. */
   void RecordFailure(const InstanceId& aId, TimePoint aNow);
 
   [[nodiscard]] Backend* Find(const InstanceId& aId);
-  /** Back ends of a service, leaving ones too. */
+  /** Back ends of a service, including leaving ones. */
   [[nodiscard]] std::vector<Backend*> ForService(const ServiceId& aService);
   [[nodiscard]] const std::map<InstanceId, Backend>& All() const
   {
     return this->backends;
   }
-  /** The same for two tables that list the same back ends for use. */
+  /** Digest of the usable entries; equal for two tables that list the same
+   * usable back ends. */
   [[nodiscard]] std::uint64_t Digest() const;
-  /** Sets what the other daemons have sent, as the sum of their words. */
+  /** Sets the load from the other daemons' requests, summed over all daemons.
+   */
   void SetRemoteLoads(const std::map<InstanceId, BackendLoad>& aLoads);
 
 private:
-  /** Weight of the newest answer in failureShare: about the last ten count. */
+  /** Weight of the latest response in failureRate, which so averages about the
+   * last ten. */
   static constexpr double kFailureRateWeight = 0.1;
 
   std::map<InstanceId, Backend> backends;
--- a/src/coord/PeerTable.cpp
+++ b/src/coord/PeerTable.cpp
@@ -14,28 +14,28 @@
 }
 
 bool
-PeerTable::ReceiveHeartbeat(const serving::DaemonHeartbeat& aWord,
+PeerTable::ReceiveHeartbeat(const serving::DaemonHeartbeat& aHeartbeat,
                             TimePoint aNow)
 {
-  const DaemonId id{ aWord.id() };
+  const DaemonId id{ aHeartbeat.id() };
   if (id == this->self || id.Empty()) {
     return false;
   }
   Peer& peer = this->peers[id];
   const bool older =
-    peer.hasHeartbeat && (aWord.life() < peer.heartbeat.life() ||
-                          (aWord.life() == peer.heartbeat.life() &&
-                           aWord.sequence() <= peer.heartbeat.sequence()));
+    peer.hasHeartbeat && (aHeartbeat.life() < peer.heartbeat.life() ||
+                          (aHeartbeat.life() == peer.heartbeat.life() &&
+                           aHeartbeat.sequence() <= peer.heartbeat.sequence()));
   if (older) {
     return false;
   }
   if (peer.inTotalLoads) {
     this->AddPeerLoad(peer, -1);
   }
-  peer.heartbeat = aWord;
+  peer.heartbeat = aHeartbeat;
   peer.sentSinceHeartbeat.clear();
   this->AddPeerLoad(peer, 1);
-  peer.address = aWord.address();
+  peer.address = aHeartbeat.address();
   peer.heartbeatAt = aNow;
   peer.hasHeartbeat = true;
   return true;
@@ -46,11 +46,11 @@
 {
   const auto found = this->peers.find(DaemonId{ aLedger.id() });
   if (found == this->peers.end()) {
-    return; // its first word comes before long, and the next ledger after it
+    return; // its first heartbeat and its next report follow soon
   }
   UsageLedger& ledger = found->second.ledger;
   if (aLedger.life() < ledger.incarnation) {
-    return; // it has started again since
+    return; // the report is of an earlier incarnation
   }
   if (aLedger.life() > ledger.incarnation) {
     for (const auto& [key, count] : ledger.counts) {
@@ -136,33 +136,33 @@
 }
 
 std::vector<std::vector<std::string>>
-PeerTable::AddressBatches(std::size_t aMost) const
+PeerTable::AddressBatches(std::size_t aMaxSize) const
 {
   const std::vector<std::string> all = this->Addresses();
   const std::size_t count =
-    std::max<std::size_t>(1, (all.size() + aMost - 1) / aMost);
-  std::vector<std::vector<std::string>> parts(count);
+    std::max<std::size_t>(1, (all.size() + aMaxSize - 1) / aMaxSize);
+  std::vector<std::vector<std::string>> batches(count);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    parts[i % count].push_back(all[i]);
+    batches[i % count].push_back(all[i]);
   }
-  return parts;
+  return batches;
 }
 
 std::vector<std::string>
 PeerTable::DutyCandidateAddresses(TimePoint aNow) const
 {
   std::vector<std::string> addresses;
-  std::size_t first = 0;
+  std::size_t candidateCount = 0;
   for (const auto& [id, peer] : this->peers) {
-    const bool lives =
+    const bool isLive =
       peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout();
-    if (!lives) {
+    if (!isLive) {
       continue;
     }
-    const bool keeps =
-      first < kDutyCandidates || peer.heartbeat.duty_fence() != 0;
-    ++first;
-    if (keeps) {
+    const bool isCandidate =
+      candidateCount < kDutyCandidates || peer.heartbeat.duty_fence() != 0;
+    ++candidateCount;
+    if (isCandidate) {
       addresses.push_back(peer.address);
     }
   }
@@ -172,13 +172,13 @@
 std::vector<DaemonId>
 PeerTable::PeersWithoutHeartbeat() const
 {
-  std::vector<DaemonId> unheard;
+  std::vector<DaemonId> missing;
   for (const auto& [id, peer] : this->peers) {
     if (!peer.hasHeartbeat) {
-      unheard.push_back(id);
+      missing.push_back(id);
     }
   }
-  return unheard;
+  return missing;
 }
 
 std::size_t
@@ -191,13 +191,13 @@
 std::vector<const serving::DaemonHeartbeat*>
 PeerTable::LiveHeartbeats(TimePoint aNow) const
 {
-  std::vector<const serving::DaemonHeartbeat*> words;
+  std::vector<const serving::DaemonHeartbeat*> heartbeats;
   for (const auto& [id, peer] : this->peers) {
     if (peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout()) {
-      words.push_back(&peer.heartbeat);
+      heartbeats.push_back(&peer.heartbeat);
     }
   }
-  return words;
+  return heartbeats;
 }
 
 std::optional<PeerTable::DutyHolderState>
@@ -224,9 +224,9 @@
 void
 PeerTable::DropTimedOutLoads(TimePoint aNow)
 {
-  const Millis silent = this->PeerTimeout();
+  const Millis timeout = this->PeerTimeout();
   for (auto& [id, peer] : this->peers) {
-    if (peer.inTotalLoads && aNow - peer.heartbeatAt > silent) {
+    if (peer.inTotalLoads && aNow - peer.heartbeatAt > timeout) {
       this->AddPeerLoad(peer, -1);
     }
   }
@@ -243,8 +243,8 @@
 PeerTable::PromptRate(const ServiceId& aService, TimePoint aNow) const
 {
   double rate = 0;
-  for (const serving::DaemonHeartbeat* word : this->LiveHeartbeats(aNow)) {
-    for (const serving::ServiceLoad& service : word->services()) {
+  for (const serving::DaemonHeartbeat* heartbeat : this->LiveHeartbeats(aNow)) {
+    for (const serving::ServiceLoad& service : heartbeat->services()) {
       if (service.service() == aService.value) {
         rate += service.prompt_tokens_per_s();
       }
@@ -256,17 +256,17 @@
 std::vector<DaemonId>
 PeerTable::PendingDaemons(std::uint64_t aWindow, TimePoint aNow) const
 {
-  std::vector<DaemonId> owing;
+  std::vector<DaemonId> pending;
   for (const auto& [id, peer] : this->peers) {
-    const bool lives =
+    const bool isLive =
       peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout();
     const bool final = peer.ledger.incarnation >= peer.heartbeat.life() &&
                        peer.ledger.openWindow > aWindow;
-    if (lives && !final) {
-      owing.push_back(id);
+    if (isLive && !final) {
+      pending.push_back(id);
     }
   }
-  return owing;
+  return pending;
 }
 
 std::map<TeamId, std::uint64_t>
@@ -288,9 +288,9 @@
 }
 
 std::int64_t
-PeerTable::ClusterTimeOffset(std::int64_t aOwnWall, TimePoint aNow) const
+PeerTable::ClusterTimeOffset(std::int64_t aOwnWallMs, TimePoint aNow) const
 {
-  std::vector<std::int64_t> offsets{ aOwnWall - aNow.ms };
+  std::vector<std::int64_t> offsets{ aOwnWallMs - aNow.ms };
   for (const auto& [id, peer] : this->peers) {
     if (peer.hasHeartbeat && aNow - peer.heartbeatAt <= this->PeerTimeout()) {
       offsets.push_back(peer.heartbeat.wall_ms() - peer.heartbeatAt.ms);
--- a/src/coord/PeerTable.h
+++ b/src/coord/PeerTable.h
@@ -1,5 +1,5 @@
 /** \file
- * The other daemons' newest words, and what they add up to.
+ * The latest heartbeat of each other daemon, and the totals over them.
  */
 #pragma once
 
@@ -15,29 +15,30 @@
 namespace toucanshed {
 
 /**
- * Words are states, not changes: losing one costs a little time, and a word
- * that comes late is dropped by its number.
+ * Heartbeats carry states, not changes: a lost one only delays an update, and
+ * one that arrives late is dropped by its sequence number.
  *
  * Thread safety: none; the owner serialises.
  */
 class PeerTable
 {
 public:
-  /** A daemon silent for this long is not counted with its load: ten words
-   * are lost together far less often than a daemon dies. */
+  /** The load of a daemon without a heartbeat for this long is not counted. Ten
+   * heartbeats are lost in a row far less often than a daemon fails. */
   static constexpr Millis kPeerTimeout{ 1500 };
-  /** Among many daemons words are further apart; then it is three of them, by
-   * so much for each daemon. */
+  /** With many daemons the heartbeat interval grows; the timeout is then three
+   * intervals, which is this much per known daemon. */
   static constexpr Millis kPeerTimeoutPerDaemon{ 36 };
-  /** Windows for which a daemon's counts are kept; reports are due within few.
-   */
+  /** Usage windows for which a daemon's counts are retained; a daemon's report
+   * of a window is due within a few windows. */
   static constexpr std::uint64_t kWindowRetention = 8;
-  /** A daemon is still spoken to for this long after its last word: if only the
-   * path to it was cut, both hear each other again without the store's help. */
+  /** Heartbeats are sent to a daemon for this long after its last one. If only
+   * the path between two daemons failed, they find each other again without the
+   * store. */
   static constexpr Millis kPeerRetention{ 300000 };
-  /** Daemons beside the holder that keep the counts: the first ones in the
-   * order of ids, in which they claim the duties. Only if all of these die
-   * within one window is something of it lost. */
+  /** Duty candidates beside the duty holder that keep the usage counts: the
+   * first ones in the order of ids, which is the order in which they claim the
+   * duties. Counts are lost only if all of them fail within one window. */
   static constexpr std::size_t kDutyCandidates = 6;
 
   explicit PeerTable(DaemonId aSelf)
@@ -45,81 +46,85 @@
   {
   }
 
-  /** The store's list of daemons has been read. */
+  /** The list of daemons in the store was read. */
   void MarkListRead() { this->listRead = true; }
-  /** Whether it has been read since the start. */
+  /** Whether the list was read since the start. */
   [[nodiscard]] bool HasReadList() const { return this->listRead; }
-  /** A daemon is known to be reachable at an address, from the store. */
+  /** The store lists a daemon at an address. */
   void AddPeer(const DaemonId& aId, const std::string& aAddress);
-  /** \return whether the word is the sender's newest. */
-  bool ReceiveHeartbeat(const serving::DaemonHeartbeat& aWord, TimePoint aNow);
-  /** Takes in what the duties' holder needs of a daemon. */
+  /** \return whether the heartbeat is the sender's latest. */
+  bool ReceiveHeartbeat(const serving::DaemonHeartbeat& aHeartbeat,
+                        TimePoint aNow);
+  /** Records the usage counts that a daemon reports to the duty holder. */
   void ReceiveLedger(const serving::UsageLedger& aLedger);
-  /** Adds a prompt that a daemon has sent since its last word. */
+  /** Adds a prompt that a daemon has sent since its last heartbeat. */
   void ReceiveSendNotice(const serving::PromptNotice& aNotice);
   void Expire(TimePoint aNow);
 
-  /** Addresses to send words to. */
+  /** Addresses of all peers, to send messages to. */
   [[nodiscard]] std::vector<std::string> Addresses() const;
-  /** The same in parts of at most aMost; at least one part, maybe empty. */
+  /** The same, in batches of at most aMaxSize; at least one batch, which may be
+   * empty. */
   [[nodiscard]] std::vector<std::vector<std::string>> AddressBatches(
-    std::size_t aMost) const;
-  /** Where to send the counts that the duties need: to their holder, and to
-   * those that would claim them after it, so that these know what a daemon that
-   * has died had counted. Sent to all, they would be most of every word. */
+    std::size_t aMaxSize) const;
+  /** Addresses for the usage counts: the duty holder and the duty candidates
+   * that would claim the duties after it, so that these have the counts of a
+   * daemon that failed. Sent to all daemons, the counts would make up the
+   * larger part of the peer messages. */
   [[nodiscard]] std::vector<std::string> DutyCandidateAddresses(
     TimePoint aNow) const;
-  /** Daemons that are listed but have not been heard yet. */
+  /** Daemons that are listed but have sent no heartbeat yet. */
   [[nodiscard]] std::vector<DaemonId> PeersWithoutHeartbeat() const;
-  /** Daemons known whose ids come before this one's, heard or not. */
+  /** Known daemons whose ids precede this one's, live or not. */
   [[nodiscard]] std::size_t PrecedingPeers() const;
-  /** Daemons heard of lately, without this one. */
+  /** Latest heartbeats of the live daemons, without this one. */
   [[nodiscard]] std::vector<const serving::DaemonHeartbeat*> LiveHeartbeats(
     TimePoint aNow) const;
-  /** The newest word of a daemon that holds the duties and is not about to
-   * stop, and when it was heard; nothing if there was none. */
+  /** The latest heartbeat of a daemon that holds the duties and is not
+   * stopping; nothing if there was none. */
   struct DutyHolderState
   {
     TimePoint receivedAt;
-    Position dutyLogEnd; // of the duties, as the holder knew them
+    Position dutyLogEnd; // end of the duty log, as known to the holder
   };
   [[nodiscard]] std::optional<DutyHolderState> DutyHolder() const;
-  /** A daemon that has said nothing for this long is taken to be gone. */
+  /** A daemon without a heartbeat for this long is considered failed. */
   [[nodiscard]] Millis PeerTimeout() const
   {
     const auto known = static_cast<std::int64_t>(this->peers.size());
     return std::max(kPeerTimeout, kPeerTimeoutPerDaemon * known);
   }
-  /** Daemons that serve now, this one with them. */
+  /** Live daemons, including this one. */
   [[nodiscard]] std::size_t LiveDaemons(TimePoint aNow) const;
-  /** What the daemons heard of lately have at each back end, those with nothing
-   * left out. */
+  /** Load that the live daemons put on each back end; idle back ends are
+   * omitted. */
   [[nodiscard]] const std::map<InstanceId, BackendLoad>& Loads(TimePoint aNow);
-  /** Prompt tokens a second that the other daemons send to a service. */
+  /** Prompt tokens per second that the other live daemons send to a service. */
   [[nodiscard]] double PromptRate(const ServiceId& aService,
                                   TimePoint aNow) const;
-  /** Daemons heard of lately that may yet tell more of a window's requests. */
+  /** Live daemons that have not reported final counts for a window. */
   [[nodiscard]] std::vector<DaemonId> PendingDaemons(std::uint64_t aWindow,
                                                      TimePoint aNow) const;
-  /** Requests counted by all other daemons in a window, dead ones too. */
+  /** Requests counted by all other daemons in a window, including failed ones.
+   */
   [[nodiscard]] std::map<TeamId, std::uint64_t> Usage(
     std::uint64_t aWindow) const;
-  /** By how much the steady clock is behind true time, by the middle one of
-   * all daemons' clocks: a clock that jumped is alone with its opinion.
-   * \param aOwnWall this daemon's own time of day. */
-  [[nodiscard]] std::int64_t ClusterTimeOffset(std::int64_t aOwnWall,
+  /** Cluster time minus this daemon's steady clock. Cluster time is the median
+   * of all daemons' clocks, so a single clock that jumped does not affect it.
+   * \param aOwnWallMs this daemon's own time of day */
+  [[nodiscard]] std::int64_t ClusterTimeOffset(std::int64_t aOwnWallMs,
                                                TimePoint aNow) const;
 
 private:
   /** Requests by window and team. */
   using UsageCounts = std::map<std::pair<std::uint64_t, TeamId>, std::uint64_t>;
-  /** What a daemon has counted. */
+  /** Usage counts of one daemon. */
   struct UsageLedger
   {
     std::uint64_t incarnation = 0;
-    std::uint64_t openWindow = 0; // counts of those before it are final
-    UsageCounts counts;           // of this life
-    UsageCounts previousCounts;   // of lives before it
+    std::uint64_t openWindow = 0; // counts of windows before it are final
+    UsageCounts counts;           // of this incarnation
+    UsageCounts previousCounts;   // of earlier incarnations
   };
   struct Peer
   {
@@ -128,21 +133,21 @@
     std::map<InstanceId, BackendLoad> sentSinceHeartbeat;
     TimePoint heartbeatAt;
     bool hasHeartbeat = false;
-    bool inTotalLoads = false; // its load is in the sum
+    bool inTotalLoads = false; // its load is included in totalLoads
     UsageLedger ledger;
   };
 
-  /** Takes the loads of daemons that have fallen silent out of the sum. */
+  /** Removes the loads of daemons that timed out from the totals. */
   void DropTimedOutLoads(TimePoint aNow);
-  /** Adds a daemon's load to the sum, or with -1 takes it out. */
+  /** Adds a daemon's load to the totals, or removes it if aSign is -1. */
   void AddPeerLoad(Peer& aPeer, int aSign);
   void AddLoad(const InstanceId& aBackend, BackendLoad aLoad, int aSign);
 
   DaemonId self;
   bool listRead = false;
   std::map<DaemonId, Peer> peers;
-  /** Kept up word by word: summed up anew at each word of hundreds of daemons
-   * it would be most of what a daemon does. */
+  /** Updated incrementally with each heartbeat: recomputing the sum for each
+   * heartbeat of hundreds of daemons would dominate a daemon's CPU time. */
   std::map<InstanceId, BackendLoad> totalLoads;
 };
 
--- a/src/coord/Placement.cpp
+++ b/src/coord/Placement.cpp
@@ -10,22 +10,25 @@
 
 namespace {
 
-/** What the engine that a part names may be slower by: two daemons that meet a
- * part at the same time agree on it unless it is busy. */
+/** The preferred engine of a section may be slower than another by this much
+ * and is still chosen. Two daemons that see a section at the same time
+ * therefore agree on it unless it is busy. */
 constexpr double kPreferredEngineBonusMs = 15;
-/** Part of the shared tokens that the engine which a part names is taken to
- * have to read, when this daemon has not sent it there lately: others have, and
- * among many daemons that is not known here. Taken to lack them all, it would
- * be passed over for any free engine, and the part be read again there. */
+/** Fraction of the shared tokens that the preferred engine is assumed to have
+ * to prefill when this daemon has no record of sending the section there. Other
+ * daemons may have sent it, and not all of their sends are known here. If it
+ * were assumed to cache nothing, any free engine would be preferred to it and
+ * would prefill the section again. */
 constexpr double kPreferredUncachedShare = 0.3;
-/** A failing engine's expected time is stretched as if each failure in its
- * newest answers cost this; about the time until a caller comes back. */
+/** Cost of a failure: the expected time of an engine grows by its failure rate
+ * times this. It is about the time until a caller retries. */
 constexpr double kFailureCostMs = 1500;
-/** Crossing into another failure domain and back, in milliseconds, with the
- * price of the bytes; breaks ties only. */
+/** Cost of a round trip to another failure domain, including the price of the
+ * traffic. It only breaks ties. */
 constexpr double kCrossZoneCostMs = 2;
-/** Requests at once beyond an engine's slots that may wait in it; they cannot
- * be refused or moved from there. As a share of the slots. */
+/** Requests beyond an engine's slots that may queue inside it, as a fraction of
+ * the slots. They are few because a request queued in an engine can be neither
+ * refused nor moved. */
 constexpr double kQueueShare = 0.1;
 
 bool
@@ -38,29 +41,30 @@
          !aRequest.triedBackends.contains(aBackend.entry.id);
 }
 
-/** The back end that a part's id names, the same at every daemon. An engine in
- * need is none: the part's requests would go there now and then, and it would
- * be read again elsewhere for each of the others. */
+/** Selects the preferred engine of a section, the same at every daemon. A
+ * rate-limited engine is never selected: it would get only a few of the
+ * section's requests, and each of the others would prefill the section on
+ * another engine. */
 InstanceId
-PreferredEngineOf(const std::string& aPart,
-                  const std::vector<Backend*>& aUsable,
-                  const std::set<InstanceId>& aInNeed)
+PreferredEngineOf(const std::string& aSection,
+                  const std::vector<Backend*>& aEligible,
+                  const std::set<InstanceId>& aRateLimited)
 {
-  InstanceId home;
+  InstanceId preferred;
   std::uint64_t highest = 0;
-  const std::uint64_t key = Hash64(aPart);
-  for (const Backend* backend : aUsable) {
-    if (aInNeed.contains(backend->entry.id)) {
+  const std::uint64_t key = Hash64(aSection);
+  for (const Backend* backend : aEligible) {
+    if (aRateLimited.contains(backend->entry.id)) {
       continue;
     }
     const std::uint64_t rank =
       CombineHashes(key, Hash64(backend->entry.id.value));
-    if (home.Empty() || rank > highest) {
+    if (preferred.Empty() || rank > highest) {
       highest = rank;
-      home = backend->entry.id;
+      preferred = backend->entry.id;
     }
   }
-  return home;
+  return preferred;
 }
 
 } // namespace
@@ -69,8 +73,8 @@
 TotalTokens(const std::vector<PromptSection>& aPrompt)
 {
   std::uint64_t tokens = 0;
-  for (const PromptSection& part : aPrompt) {
-    tokens += part.tokens;
+  for (const PromptSection& section : aPrompt) {
+    tokens += section.tokens;
   }
   return tokens;
 }
@@ -84,23 +88,25 @@
 std::string
 SharedSectionId(const std::vector<PromptSection>& aPrompt)
 {
-  // The request's own part is the last one.
+  // The last section is the request's own.
   return aPrompt.size() < 2 ? std::string{} : aPrompt[aPrompt.size() - 2].id;
 }
 
 double
 Placer::ExpectedMs(const Backend& aBackend, std::uint64_t aTokens) const
 {
-  const double reading = static_cast<double>(aBackend.localLoad.promptTokens +
-                                             aBackend.remoteLoad.promptTokens) +
-                         static_cast<double>(aTokens);
+  const double prefillTokens =
+    static_cast<double>(aBackend.localLoad.promptTokens +
+                        aBackend.remoteLoad.promptTokens) +
+    static_cast<double>(aTokens);
   const double slots = std::max(1U, aBackend.entry.slots);
   const double fill = static_cast<double>(aBackend.TotalRunning()) / slots;
-  // Each running request makes every step a little longer.
+  // Each running request makes every decoding step a little longer.
   const double steps = this->speed.outputTokenMs * (1 + fill);
   const double over =
     std::max(0.0, fill - 1) * slots * this->speed.outputTokenMs;
-  return aBackend.slowness * (reading / this->speed.promptTokensPerMs + steps) +
+  return aBackend.slowness *
+           (prefillTokens / this->speed.promptTokensPerMs + steps) +
          over * 10 + aBackend.failureRate * kFailureCostMs;
 }
 
@@ -110,49 +116,52 @@
                const EngineTraits* aTraits,
                TimePoint aNow) const
 {
-  std::vector<Backend*> usable;
+  std::vector<Backend*> eligible;
   for (Backend* backend : aBackends) {
     if (IsEligible(*backend, aRequest, aNow)) {
-      usable.push_back(backend);
+      eligible.push_back(backend);
     }
   }
-  if (usable.empty()) {
+  if (eligible.empty()) {
     return std::nullopt;
   }
   const std::uint64_t all = TotalTokens(aRequest.prompt);
   const std::uint64_t own = UnsharedTokens(aRequest.prompt);
-  const std::vector<InstanceId>& holders = aRequest.cachedBackends;
+  const std::vector<InstanceId>& cachedOn = aRequest.cachedBackends;
   const std::string shared = SharedSectionId(aRequest.prompt);
-  InstanceId home;
+  InstanceId preferred;
   if (aTraits != nullptr && !shared.empty()) {
-    home = PreferredEngineOf(shared, usable, aRequest.rateLimited);
+    preferred = PreferredEngineOf(shared, eligible, aRequest.rateLimited);
   }
   Placement best;
   double bestScore = std::numeric_limits<double>::max();
-  for (const Backend* backend : usable) {
+  for (const Backend* backend : eligible) {
     const InstanceId& id = backend->entry.id;
-    const bool holds =
-      std::find(holders.begin(), holders.end(), id) != holders.end();
-    std::uint64_t tokens = holds ? own : all;
-    if (!holds && id == home) {
+    const bool isCached =
+      std::find(cachedOn.begin(), cachedOn.end(), id) != cachedOn.end();
+    std::uint64_t tokens = isCached ? own : all;
+    if (!isCached && id == preferred) {
       tokens = own + static_cast<std::uint64_t>(kPreferredUncachedShare *
                                                 static_cast<double>(all - own));
     }
     const double expected = this->ExpectedMs(*backend, tokens);
     double score = expected;
     score += backend->entry.zone == this->zone ? 0 : kCrossZoneCostMs;
-    score += home.Empty() || id == home || holds ? 0 : kPreferredEngineBonusMs;
+    score += preferred.Empty() || id == preferred || isCached
+               ? 0
+               : kPreferredEngineBonusMs;
     if (score < bestScore) {
       bestScore = score;
-      const double room = backend->entry.slots * (1 + kQueueShare);
-      best = Placement{ backend->entry.id,
-                        expected,
-                        tokens,
-                        static_cast<std::uint64_t>(std::max<std::int64_t>(
-                          0,
-                          backend->localLoad.promptTokens +
-                            backend->remoteLoad.promptTokens)),
-                        static_cast<double>(backend->TotalRunning()) >= room };
+      const double capacity = backend->entry.slots * (1 + kQueueShare);
+      best = Placement{
+        backend->entry.id,
+        expected,
+        tokens,
+        static_cast<std::uint64_t>(std::max<std::int64_t>(
+          0,
+          backend->localLoad.promptTokens + backend->remoteLoad.promptTokens)),
+        static_cast<double>(backend->TotalRunning()) >= capacity
+      };
     }
   }
   return best;
@@ -161,14 +170,14 @@
 void
 Placer::RecordResponseStart(double aTokens, double aMs)
 {
-  constexpr double kLeastTokens = 2000; // shorter prompts show other delays
-  constexpr double kStep = 0.03;        // a change of speed shows in 30 answers
-  if (aTokens < kLeastTokens || aMs <= 0) {
+  constexpr double kMinTokens = 2000; // other delays dominate below
+  constexpr double kStep = 0.03; // follows a change of speed in 30 responses
+  if (aTokens < kMinTokens || aMs <= 0) {
     return;
   }
-  // A step up or down a fixed part leads to the middle one of what is seen.
-  // Some answers find their prompt read already and others wait for what is
-  // not known here; a mean would follow these.
+  // Steps of a fixed ratio converge to the median of the observed speeds. Some
+  // responses have a cached prompt and others wait for prompts that are unknown
+  // here; a mean would follow these outliers.
   const bool faster = aTokens / aMs > this->speed.promptTokensPerMs;
   this->speed.promptTokensPerMs *= faster ? 1 + kStep : 1 / (1 + kStep);
 }
--- a/src/coord/Placement.h
+++ b/src/coord/Placement.h
@@ -1,5 +1,5 @@
 /** \file
- * Chooses the back end for one send, from what is known of all of them.
+ * Chooses the back end for one request.
  */
 #pragma once
 
@@ -15,56 +15,58 @@
 
 struct EngineTraits;
 
-/** What placement needs to know of a request. */
+/** Properties of a request that placement uses. */
 struct PlacementRequest
 {
   std::vector<PromptSection> prompt;
-  /** Back ends that have read its shared part. */
+  /** Back ends that hold its shared section in their cache. */
   std::vector<InstanceId> cachedBackends;
-  /** Back ends that take a few requests only, as they are in need. */
+  /** Back ends with a rate limit in effect. */
   std::set<InstanceId> rateLimited;
-  /** Back ends that have had this request. */
+  /** Back ends that this request was sent to before. */
   std::set<InstanceId> triedBackends;
 };
 
-/** How fast engines of a service have been seen to work. */
+/** Estimated speed of a service's engines. */
 struct EngineSpeed
 {
-  /** Prompt tokens read in a millisecond. The first figure is a cautious one;
-   * what is seen replaces it within tens of answers. */
+  /** Prompt tokens prefilled per millisecond. The initial value is
+   * conservative; observations replace it within tens of responses. */
   double promptTokensPerMs = 40;
-  /** Time of one token of output while few requests run. */
+  /** Time per output token while few requests run. */
   double outputTokenMs = 4;
 };
 
-/** The back end that was chosen and what is expected of it. */
+/** The chosen back end and the expected cost of running the request there. */
 struct Placement
 {
   InstanceId backend;
-  double expectedMs = 0; // until the answer begins
+  double expectedMs = 0; // until the response begins
   std::uint64_t uncachedTokens = 0;
-  /** Prompt tokens of other requests that are to be read before. */
+  /** Prompt tokens of other requests that the back end prefills first. */
   std::uint64_t queuedTokens = 0;
-  /** All of a service's back ends are as full as they may be. */
+  /** Even the best back end is filled up to its slots and its allowed queue. */
   bool atCapacity = false;
 };
 
 std::uint64_t
 TotalTokens(const std::vector<PromptSection>& aPrompt);
 
-/** Tokens that no other request brings. */
+/** Tokens of the last section, which belongs to this request alone. */
 std::uint64_t
 UnsharedTokens(const std::vector<PromptSection>& aPrompt);
 
-/** The last part that other requests may share; empty when there is none. */
+/** Id of the last section that other requests may share; empty when there is
+ * none. */
 std::string
 SharedSectionId(const std::vector<PromptSection>& aPrompt);
 
 /**
- * A request goes where its shared part was read already, unless the queue there
- * costs more than reading it again. A part that nobody has read goes to the
- * engine that its id names by rendezvous hashing, the same at every daemon, so
- * that two daemons that meet it at the same time choose alike.
+ * Sends a request to an engine that caches its shared section, unless the queue
+ * there costs more than prefilling the section again elsewhere. A section that
+ * no engine caches goes to its preferred engine, selected by rendezvous hashing
+ * of the section id. Every daemon selects the same engine, so two daemons that
+ * see a new section at the same time make the same choice.
  *
  * Thread safety: none; the owner serialises.
  */
@@ -76,15 +78,15 @@
   {
   }
 
-  /** \return nothing when no back end may be sent to. */
+  /** \return nothing when no back end is eligible. */
   std::optional<Placement> Choose(const std::vector<Backend*>& aBackends,
                                   const PlacementRequest& aRequest,
                                   const EngineTraits* aTraits,
                                   TimePoint aNow) const;
 
-  /** Learns from an answer that began.
-   * \param aTokens prompt tokens that the back end had to read before it, the
-   *   request's own with them
+  /** Updates the speed estimate from a response that began.
+   * \param aTokens prompt tokens that the back end had to prefill before it,
+   *   including the request's own
    * \param aMs time from the send to the first event */
   void RecordResponseStart(double aTokens, double aMs);
 
--- a/src/coord/SlotBudget.cpp
+++ b/src/coord/SlotBudget.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Requests that may wait inside engines, as a part of their slots, before
+/** Fraction of the engines' slots by which requests may wait inside them before
  * the factor shrinks. */
 constexpr double kMaxWaitingShare = 0.05;
 constexpr double kShrinkFactor = 0.93;
@@ -21,8 +21,8 @@
 {
   this->baseSlots = std::max(1.0, aSlots / std::max(1.0, aDaemons));
   const bool full = aWaiting > kMaxWaitingShare * aSlots;
-  // It grows only while its places are used: else a calm hour would end with
-  // a factor that lets the first burst through.
+  // The factor grows only while the slots are used. Otherwise it would be high
+  // after an idle hour and let the first burst through.
   const bool used =
     static_cast<double>(this->inFlight) >= kBatchShare * this->SlotLimit();
   if (full) {
@@ -71,56 +71,56 @@
 }
 
 bool
-SlotBudget::CanStart(const TeamId& aTeam, LatencyClass aUrgency) const
+SlotBudget::CanStart(const TeamId& aTeam, LatencyClass aClass) const
 {
-  const double places = this->SlotLimit();
+  const double slotLimit = this->SlotLimit();
   if (this->inFlight == 0) {
     return true;
   }
-  double part = this->ExceedsFairShare(aTeam) ? kOverFairShareLimit : 1;
-  if (aUrgency == LatencyClass::eBatch) {
-    part = std::min(part, kOverFairShareLimit);
-    const auto reports = static_cast<double>(this->batchInFlight);
-    if (reports + 1 > std::max(1.0, places * kBatchShare)) {
+  double share = this->ExceedsFairShare(aTeam) ? kOverFairShareLimit : 1;
+  if (aClass == LatencyClass::eBatch) {
+    share = std::min(share, kOverFairShareLimit);
+    const auto batchCount = static_cast<double>(this->batchInFlight);
+    if (batchCount + 1 > std::max(1.0, slotLimit * kBatchShare)) {
       return false;
     }
   }
-  return static_cast<double>(this->inFlight) + 1 <= places * part;
+  return static_cast<double>(this->inFlight) + 1 <= slotLimit * share;
 }
 
 double
-SlotBudget::ReservedSlots(const TeamId& aTeam, LatencyClass aUrgency) const
+SlotBudget::ReservedSlots(const TeamId& aTeam, LatencyClass aClass) const
 {
   const bool yields =
-    aUrgency == LatencyClass::eBatch || this->ExceedsFairShare(aTeam);
+    aClass == LatencyClass::eBatch || this->ExceedsFairShare(aTeam);
   return yields ? kReservedSlots : 0;
 }
 
 int
-SlotBudget::PriorityOf(const TeamId& aTeam, LatencyClass aUrgency) const
+SlotBudget::PriorityOf(const TeamId& aTeam, LatencyClass aClass) const
 {
-  if (aUrgency == LatencyClass::eBatch) {
+  if (aClass == LatencyClass::eBatch) {
     return 0;
   }
   return this->ExceedsFairShare(aTeam) ? 1 : 2;
 }
 
 void
-SlotBudget::RecordStart(const TeamId& aTeam, LatencyClass aUrgency)
+SlotBudget::RecordStart(const TeamId& aTeam, LatencyClass aClass)
 {
   ++this->inFlight;
-  this->batchInFlight += aUrgency == LatencyClass::eBatch ? 1 : 0;
-  if (aUrgency == LatencyClass::eInteractive) {
+  this->batchInFlight += aClass == LatencyClass::eBatch ? 1 : 0;
+  if (aClass == LatencyClass::eInteractive) {
     ++this->interactiveByTeam[aTeam];
   }
 }
 
 void
-SlotBudget::RecordEnd(const TeamId& aTeam, LatencyClass aUrgency)
+SlotBudget::RecordEnd(const TeamId& aTeam, LatencyClass aClass)
 {
   --this->inFlight;
-  this->batchInFlight -= aUrgency == LatencyClass::eBatch ? 1 : 0;
-  if (aUrgency == LatencyClass::eBatch) {
+  this->batchInFlight -= aClass == LatencyClass::eBatch ? 1 : 0;
+  if (aClass == LatencyClass::eBatch) {
     return;
   }
   const auto found = this->interactiveByTeam.find(aTeam);
--- a/src/coord/SlotBudget.h
+++ b/src/coord/SlotBudget.h
@@ -1,5 +1,6 @@
 /** \file
- * How many of the engines' places this daemon may fill, and with what.
+ * Limits how many slots of the engines this daemon may fill, and for which
+ * requests.
  */
 #pragma once
 
@@ -12,20 +13,20 @@
 namespace toucanshed {
 
 /**
- * A request that waits inside an engine cannot be overtaken by a more urgent
- * one's team, refused in time or sent elsewhere. So a daemon sends no more
- * than the engines have places for, and keeps the rest in its own queue.
+ * A request that waits inside an engine can no longer be overtaken by a more
+ * urgent request, refused in time or sent elsewhere. So a daemon sends no more
+ * requests than the engines have slots for, and queues the rest itself.
  *
- * Its places are its part of all slots, times a factor that follows what the
- * engines report: it shrinks while requests wait inside engines and grows
- * while none do. All daemons read the same reports, so they share the engines
- * without a word between them, also when they are not loaded alike.
+ * The limit is the daemon's share of all slots, times a factor that follows the
+ * engines' load reports: it shrinks while requests wait inside engines and
+ * grows while none do. All daemons read the same reports, so they share the
+ * engines without further communication, also when their loads differ.
  *
- * A team's share is counted in quick requests alone: a team that has its
- * reports running must not wait with its quick help for that.
+ * A team's fair share counts interactive requests only, so that a team's
+ * running batch requests do not delay its interactive ones.
  *
- * Of the places, reports leave some free for quick help, and a team beyond
- * its share leaves a few free for the others; without these a short request
+ * Batch requests leave some slots free for interactive ones, and a team above
+ * its fair share leaves some free for other teams. Otherwise a short request
  * would wait for a long one to end whenever the engines are full.
  *
  * Thread safety: none; the owner serialises.
@@ -33,33 +34,34 @@
 class SlotBudget
 {
 public:
-  /** What the engines of one service and version have and report.
-   *  \param aSlots all slots, \param aWaiting requests waiting inside them,
-   *  \param aDaemons daemons that share them, at least 1. */
+  /** Updates the limit from the load of the engines of one service and version.
+   * \param aSlots all slots
+   * \param aWaiting requests waiting inside the engines
+   * \param aDaemons daemons that share the slots, at least 1 */
   void Update(double aSlots, double aWaiting, double aDaemons);
   void SetWeight(const TeamId& aTeam, double aWeight);
 
-  [[nodiscard]] bool CanStart(const TeamId& aTeam, LatencyClass aUrgency) const;
-  /** Slots that a request must leave free on its engine for others. */
+  [[nodiscard]] bool CanStart(const TeamId& aTeam, LatencyClass aClass) const;
+  /** Slots that a request must leave free on its engine for other requests. */
   [[nodiscard]] double ReservedSlots(const TeamId& aTeam,
-                                     LatencyClass aUrgency) const;
-  /** For the engine's own queue: 2 for quick help of a team within its share,
-   * 1 beyond it, 0 for reports. */
-  [[nodiscard]] int PriorityOf(const TeamId& aTeam,
-                               LatencyClass aUrgency) const;
-  void RecordStart(const TeamId& aTeam, LatencyClass aUrgency);
-  void RecordEnd(const TeamId& aTeam, LatencyClass aUrgency);
+                                     LatencyClass aClass) const;
+  /** Priority in the engine's own queue: 2 for an interactive request of a team
+   * within its fair share, 1 for one above it, 0 for a batch request. */
+  [[nodiscard]] int PriorityOf(const TeamId& aTeam, LatencyClass aClass) const;
+  void RecordStart(const TeamId& aTeam, LatencyClass aClass);
+  void RecordEnd(const TeamId& aTeam, LatencyClass aClass);
 
-  /** Places this daemon may fill now. */
+  /** Slots that this daemon may fill now. */
   [[nodiscard]] double SlotLimit() const;
   [[nodiscard]] std::uint64_t InFlight() const { return this->inFlight; }
 
-  /** Part of the places that reports may fill. */
+  /** Fraction of the slot limit that batch requests may fill. */
   static constexpr double kBatchShare = 0.5;
-  /** Part that teams beyond their share may fill. */
+  /** Fraction of the slot limit that teams above their fair share, and batch
+   * requests, may fill. */
   static constexpr double kOverFairShareLimit = 0.8;
-  /** Slots left free on an engine by reports and by teams beyond their share.
-   */
+  /** Slots left free on an engine by batch requests and by teams above their
+   * fair share. */
   static constexpr double kReservedSlots = 2;
 
 private:
