--- a/src/coord/EngineLimits.cpp
+++ b/src/coord/EngineLimits.cpp
@@ -29,7 +29,7 @@
 
 bool
 EngineLimits::RecordResponse(const InstanceId& aEngine,
-                             std::int64_t aBorn,
+                             std::int64_t aIncarnation,
                              std::optional<RequestRate> aLimit,
                              TimePoint aNow)
 {
@@ -38,50 +38,50 @@
   if (!aLimit && (!known || found->second.latest.ended)) {
     return false;
   }
-  LimitUpdate news{ aEngine, aBorn, RequestRate{}, !aLimit, aNow };
-  news.rate = aLimit ? *aLimit : found->second.latest.rate;
+  LimitUpdate update{ aEngine, aIncarnation, RequestRate{}, !aLimit, aNow };
+  update.rate = aLimit ? *aLimit : found->second.latest.rate;
   Limit& limit = this->limits[aEngine];
-  const bool begins = !known || (limit.latest.ended && !news.ended);
-  const bool other = this->Apply(limit, news, aNow);
-  const bool falls = !news.ended && news.rate.perSecond <
-                                      kSignificantChange * limit.reportedPerS;
-  limit.urgent = limit.urgent || begins || falls;
-  return other;
+  const bool begins = !known || (limit.latest.ended && !update.ended);
+  const bool significant = this->Apply(limit, update, aNow);
+  const bool drops = !update.ended && update.rate.perSecond <
+                                        kSignificantChange * limit.reportedPerS;
+  limit.urgent = limit.urgent || begins || drops;
+  return significant;
 }
 
 bool
-EngineLimits::ReceiveUpdate(const LimitUpdate& aNews, TimePoint aNow)
+EngineLimits::ReceiveUpdate(const LimitUpdate& aUpdate, TimePoint aNow)
 {
-  const auto found = this->limits.find(aNews.engine);
+  const auto found = this->limits.find(aUpdate.engine);
   const bool known = found != this->limits.end();
-  if (known && aNews.asOf <= found->second.latest.asOf) {
+  if (known && aUpdate.asOf <= found->second.latest.asOf) {
     return false;
   }
-  if (!known && aNews.ended) {
+  if (!known && aUpdate.ended) {
     return false;
   }
-  Limit& limit = this->limits[aNews.engine];
-  const bool other = this->Apply(limit, aNews, aNow);
-  limit.reportedPerS = aNews.rate.perSecond;
+  Limit& limit = this->limits[aUpdate.engine];
+  const bool significant = this->Apply(limit, aUpdate, aNow);
+  limit.reportedPerS = aUpdate.rate.perSecond;
   limit.urgent = false;
-  return other;
+  return significant;
 }
 
 bool
-EngineLimits::Apply(Limit& aLimit, const LimitUpdate& aNews, TimePoint aNow)
-{
-  this->Refill(aLimit, aNow); // at the rate until now
-  const double rate = aNews.ended ? 0 : aNews.rate.perSecond;
-  const bool other = rate < kSignificantChange * aLimit.significantPerS ||
-                     aLimit.significantPerS < kSignificantChange * rate;
-  aLimit.significantPerS = other ? rate : aLimit.significantPerS;
-  const bool ends = aNews.ended && !aLimit.latest.ended;
+EngineLimits::Apply(Limit& aLimit, const LimitUpdate& aUpdate, TimePoint aNow)
+{
+  this->Refill(aLimit, aNow); // at the previous rate
+  const double rate = aUpdate.ended ? 0 : aUpdate.rate.perSecond;
+  const bool significant = rate < kSignificantChange * aLimit.significantPerS ||
+                           aLimit.significantPerS < kSignificantChange * rate;
+  aLimit.significantPerS = significant ? rate : aLimit.significantPerS;
+  const bool ends = aUpdate.ended && !aLimit.latest.ended;
   if (ends) {
     aLimit.endedAt = aNow;
   }
-  aLimit.latest = aNews;
+  aLimit.latest = aUpdate;
   this->UpdateShare(aLimit, aNow);
-  return other;
+  return significant;
 }
 
 void
@@ -103,20 +103,21 @@
 EngineLimits::Find(const InstanceId& aEngine, TimePoint aNow)
 {
   const auto found = this->limits.find(aEngine);
-  const bool holds =
+  const bool inEffect =
     found != this->limits.end() && InEffect(found->second, aNow);
-  return holds ? &found->second : nullptr;
+  return inEffect ? &found->second : nullptr;
 }
 
 RequestRate
 EngineLimits::EffectiveRate(const Limit& aLimit, TimePoint aNow)
 {
-  const double named =
+  const double reportedRate =
     std::max(aLimit.latest.rate.perSecond, kMinRate.perSecond);
   if (!aLimit.latest.ended) {
-    return RequestRate{ named };
+    return RequestRate{ reportedRate };
   }
-  return RequestRate{ named * std::exp2(Seconds(aNow - aLimit.endedAt)) };
+  return RequestRate{ reportedRate *
+                      std::exp2(Seconds(aNow - aLimit.endedAt)) };
 }
 
 std::optional<RequestRate>
@@ -134,14 +135,14 @@
 {
   aLimit.shareCheckedAt = aNow;
   const double rate = EffectiveRate(aLimit, aNow).perSecond;
-  const auto parts =
+  const auto shareCount =
     std::min(this->shares.SharingDaemons(aNow),
              static_cast<std::size_t>(std::floor(rate) + kExtraShares));
   const std::uint64_t key = Hash64(aLimit.latest.engine.value);
-  const bool mine =
-    this->shares.CanUseShares(aNow) && this->shares.HasShare(key, parts, aNow);
-  aLimit.sharePerS = mine ? rate / static_cast<double>(parts) : 0;
-  if (!mine) {
+  const bool hasShare = this->shares.CanUseShares(aNow) &&
+                        this->shares.HasShare(key, shareCount, aNow);
+  aLimit.sharePerS = hasShare ? rate / static_cast<double>(shareCount) : 0;
+  if (!hasShare) {
     aLimit.credit = 0;
   }
 }
@@ -150,8 +151,9 @@
 EngineLimits::Refill(Limit& aLimit, TimePoint aNow) const
 {
   const double gained = aLimit.sharePerS * Seconds(aNow - aLimit.refilledAt);
-  const double most = std::max(1.0, aLimit.sharePerS * Seconds(kBurstWindow));
-  aLimit.credit = std::min(most, aLimit.credit + gained);
+  const double maxCredit =
+    std::max(1.0, aLimit.sharePerS * Seconds(kBurstWindow));
+  aLimit.credit = std::min(maxCredit, aLimit.credit + gained);
   aLimit.refilledAt = aNow;
   if (!aLimit.shareCheckedAt ||
       aNow - *aLimit.shareCheckedAt >= kShareRefreshInterval) {
@@ -174,11 +176,11 @@
 LimitDecision
 EngineLimits::TryAcquire(const InstanceId& aEngine, TimePoint aNow)
 {
-  const LimitDecision use = this->Check(aEngine, aNow);
-  if (use == LimitDecision::eAllowed) {
+  const LimitDecision decision = this->Check(aEngine, aNow);
+  if (decision == LimitDecision::eAllowed) {
     this->limits.at(aEngine).credit -= 1;
   }
-  return use;
+  return decision;
 }
 
 Millis
@@ -209,33 +211,33 @@
 std::vector<LimitUpdate>
 EngineLimits::TakeUrgentUpdates()
 {
-  std::vector<LimitUpdate> news;
+  std::vector<LimitUpdate> updates;
   for (auto& [engine, limit] : this->limits) {
     if (limit.urgent) {
       limit.urgent = false;
       limit.reportedPerS = limit.latest.rate.perSecond;
-      news.push_back(limit.latest);
+      updates.push_back(limit.latest);
     }
   }
-  return news;
+  return updates;
 }
 
 std::vector<LimitUpdate>
 EngineLimits::TakeHeartbeatUpdates()
 {
-  std::vector<LimitUpdate> news;
+  std::vector<LimitUpdate> updates;
   auto next = this->limits.upper_bound(this->lastReported);
-  const std::size_t most = std::min(kMaxPerHeartbeat, this->limits.size());
-  while (news.size() < most) {
+  const std::size_t count = std::min(kMaxPerHeartbeat, this->limits.size());
+  while (updates.size() < count) {
     if (next == this->limits.end()) {
       next = this->limits.begin();
     }
     next->second.reportedPerS = next->second.latest.rate.perSecond;
-    news.push_back(next->second.latest);
+    updates.push_back(next->second.latest);
     this->lastReported = next->first;
     ++next;
   }
-  return news;
+  return updates;
 }
 
 } // namespace toucanshed
--- a/src/coord/EngineLimits.h
+++ b/src/coord/EngineLimits.h
@@ -1,6 +1,6 @@
 /** \file
- * Holds all daemons together to the rates of requests that engines in need
- * name in their answers.
+ * Keeps the requests of all daemons together within the rate limits that
+ * engines report in their responses.
  */
 #pragma once
 
@@ -16,118 +16,124 @@
 
 class LimitShares;
 
-/** What is known of one engine's limit. */
+/** The latest known state of one engine's rate limit. */
 struct LimitUpdate
 {
   InstanceId engine;
-  std::int64_t incarnation = 0; // the engine's life that named it
-  RequestRate rate;             // named last
-  bool ended = false;           // its answers name none any more
-  TimePoint asOf;               // of the answer, by this daemon's clock
+  std::int64_t incarnation = 0; // of the engine that reported it
+  RequestRate rate;             // last reported
+  bool ended = false;           // its responses report no limit any more
+  TimePoint asOf;               // time of the response, by this daemon's clock
 };
 
 /** Whether a request may be sent to an engine. */
 enum class LimitDecision
 {
   eUnlimited, // the engine has no limit
-  eAllowed,   // the limit has room for it
-  eExhausted, // it has none now
+  eAllowed,   // the limit allows one more request
+  eExhausted, // this daemon has no request left now
 };
 
 /**
- * An engine in need names in each answer how many requests a second it takes
- * from all daemons together, for as long as it is in need. If each daemon kept
- * to that alone, the engine would get it as many times over as there are
- * daemons. So the rate is divided: into a few parts, as a part of less than a
- * request in some seconds is of no use, and each part goes to one daemon. The
- * others send there nothing. A part begins empty and saves up one request, or
- * what it is given in half a second, so all of them together pass the rate by
+ * A rate-limited engine reports in each response how many requests per second
+ * it accepts from all daemons together, for as long as the limit lasts. If each
+ * daemon applied the whole rate, the engine would get it once per daemon. So
+ * the rate is divided into a few shares, each of which one daemon holds;
+ * daemons without a share send nothing to the engine. There are few shares
+ * because a share of less than one request in several seconds is useless. A
+ * share starts empty and accumulates at most one request, or its rate over
+ * kBurstWindow if that is more, so that all shares together exceed the rate by
  * little.
  *
- * What one daemon learns from an answer all are told, so that those hold to it
- * that have not sent there yet, and a daemon that starts.
+ * A daemon that gets a limit in a response reports it to all others, so that
+ * daemons that have sent nothing to the engine yet, and daemons that start,
+ * apply the limit as well.
  *
  * Thread safety: none; the owner serialises.
  */
 class EngineLimits
 {
 public:
-  /** Parts beyond one for each request a second. */
+  /** Number of shares beyond one per request per second. */
   static constexpr double kExtraShares = 3;
-  /** What a part saves up at the most, if that is more than a request. */
+  /** A share accumulates at most its rate over this time, or one request if
+   * that is more. */
   static constexpr Millis kBurstWindow{ 500 };
-  /** An engine that takes less is still sent so many, as only an answer can
-   * tell that it takes more again. */
+  /** Lower bound of an effective limit. Some requests must be sent, because
+   * only a response shows that the engine accepts more again. */
   static constexpr RequestRate kMinRate{ 0.1 };
-  /** After an engine names no limit any more its rate doubles each second for
-   * so long; then it has none. All daemons at once would bring it into need
-   * again. */
+  /** After the end of a limit, the rate doubles each second for this long
+   * before the limit is lifted. All daemons returning at once would overload
+   * the engine again. */
   static constexpr Millis kRecoveryTime{ 5000 };
-  /** How long the end of a limit is remembered, so that an older word does not
-   * bring it back. */
+  /** How long the end of a limit is retained, so that an older update does not
+   * restore the limit. */
   static constexpr Millis kEndRetention{ 60000 };
-  /** A limit is quite another below this part of what it was, or when it was
-   * below this part of what it is. */
+  /** A change of a limit is significant if the new rate is below this fraction
+   * of the old one, or the old one below this fraction of the new one. */
   static constexpr double kSignificantChange = 0.7;
-  /** Limits in one regular word; each word has others. */
+  /** Limits per heartbeat; successive heartbeats carry different ones. */
   static constexpr std::size_t kMaxPerHeartbeat = 8;
 
-  explicit EngineLimits(const LimitShares& aSharers)
-    : shares(aSharers)
+  explicit EngineLimits(const LimitShares& aShares)
+    : shares(aShares)
   {
   }
   EngineLimits(const EngineLimits&) = delete;
   EngineLimits& operator=(const EngineLimits&) = delete;
 
-  /** An answer of the engine came, and named the limit or none.
-   * \return whether the limit begins, ends, or is quite another */
+  /** Records a response of the engine, which reported a limit or none.
+   * \return whether the limit begins, ends, or changes significantly */
   bool RecordResponse(const InstanceId& aEngine,
-                      std::int64_t aBorn,
+                      std::int64_t aIncarnation,
                       std::optional<RequestRate> aLimit,
                       TimePoint aNow);
-  /** Another daemon tells what it knows. Older knowledge changes nothing.
-   * \return as for Answered */
-  bool ReceiveUpdate(const LimitUpdate& aNews, TimePoint aNow);
-  /** The engine has gone or begun another life. */
+  /** Records another daemon's update. An update that is not newer than the
+   * known state is ignored.
+   * \return as for RecordResponse */
+  bool ReceiveUpdate(const LimitUpdate& aUpdate, TimePoint aNow);
+  /** The engine has gone or was restarted. */
   void Forget(const InstanceId& aEngine) { this->limits.erase(aEngine); }
-  /** Forgets limits that ended long ago. */
+  /** Drops limits that ended more than kEndRetention ago. */
   void Expire(TimePoint aNow);
 
-  /** Whether no engine has had a limit lately. */
+  /** Whether no engine has, or had recently, a limit. */
   [[nodiscard]] bool Empty() const { return this->limits.empty(); }
-  /** Whether a request may be sent to the engine now; Take also counts it. */
+  /** Whether a request may be sent to the engine now. TryAcquire also counts it
+   * against the limit. */
   [[nodiscard]] LimitDecision Check(const InstanceId& aEngine, TimePoint aNow);
   LimitDecision TryAcquire(const InstanceId& aEngine, TimePoint aNow);
-  /** How long until the engine takes a further request, from whichever daemon;
-   * 0 when it has no limit. */
+  /** How long until the engine accepts a further request, from any daemon; 0
+   * when it has no limit. */
   [[nodiscard]] Millis RetryDelay(const InstanceId& aEngine, TimePoint aNow);
-  /** What the engine takes from all daemons together; nothing when it has no
-   * limit. */
+  /** Rate that the engine accepts from all daemons together; nothing when it
+   * has no limit. */
   [[nodiscard]] std::optional<RequestRate> RateOf(const InstanceId& aEngine,
                                                   TimePoint aNow) const;
 
-  /** What the other daemons must hear at once; counts as told. */
+  /** Updates that the other daemons must receive at once; marks them as
+   * reported. */
   std::vector<LimitUpdate> TakeUrgentUpdates();
   [[nodiscard]] bool HasUrgentUpdates() const;
-  /** For a regular word; counts as told. */
+  /** Updates for the next heartbeat; marks them as reported. */
   std::vector<LimitUpdate> TakeHeartbeatUpdates();
 
 private:
-  /** How often it is looked up whether a part belongs to this daemon. */
+  /** How often this daemon checks whether it holds a share. */
   static constexpr Millis kShareRefreshInterval{ 100 };
 
   struct Limit
   {
     LimitUpdate latest;
     TimePoint endedAt;
-    double reportedPerS = 0;    // rate that the others know; 0: none
-    double significantPerS = 0; // the last one that was quite another; 0: none
+    double reportedPerS = 0;    // rate last reported to the others; 0: none
+    double significantPerS = 0; // rate at the last significant change; 0: none
     bool urgent = false;
-    // This daemon's part.
+    // This daemon's share.
     double credit = 0; // requests
     TimePoint refilledAt;
     double sharePerS = 0;
-    std::optional<TimePoint> shareCheckedAt; // when it was looked up
+    std::optional<TimePoint> shareCheckedAt;
   };
 
   [[nodiscard]] static bool InEffect(const Limit& aLimit, TimePoint aNow);
@@ -135,14 +141,14 @@
   [[nodiscard]] Limit* Find(const InstanceId& aEngine, TimePoint aNow);
   [[nodiscard]] static RequestRate EffectiveRate(const Limit& aLimit,
                                                  TimePoint aNow);
-  /** \return as Answered. */
-  bool Apply(Limit& aLimit, const LimitUpdate& aNews, TimePoint aNow);
+  /** \return as for RecordResponse. */
+  bool Apply(Limit& aLimit, const LimitUpdate& aUpdate, TimePoint aNow);
   void UpdateShare(Limit& aLimit, TimePoint aNow) const;
   void Refill(Limit& aLimit, TimePoint aNow) const;
 
   const LimitShares& shares;
   std::map<InstanceId, Limit> limits;
-  InstanceId lastReported; // in a regular word
+  InstanceId lastReported; // last engine reported in a heartbeat
 };
 
 } // namespace toucanshed
--- a/src/coord/LimitShares.cpp
+++ b/src/coord/LimitShares.cpp
@@ -4,10 +4,10 @@
 
 namespace toucanshed {
 
-LimitShares::LimitShares(DaemonId aSelf, TimePoint aStarted)
+LimitShares::LimitShares(DaemonId aSelf, TimePoint aStartedAt)
   : self(std::move(aSelf))
   , ownHash(Hash64(this->self.value))
-  , started(aStarted)
+  , started(aStartedAt)
 {
 }
 
@@ -45,12 +45,12 @@
   if (!this->listRead || !knownToAll) {
     return false;
   }
-  std::size_t heard = 1;
+  std::size_t reachable = 1;
   for (const auto& [id, peer] : this->peers) {
-    heard +=
+    reachable +=
       peer.hasHeartbeat && aNow - peer.lastSeenAt <= this->peerTimeout ? 1 : 0;
   }
-  return 2 * heard > this->peers.size() + 1;
+  return 2 * reachable > this->peers.size() + 1;
 }
 
 std::size_t
@@ -65,17 +65,17 @@
 
 bool
 LimitShares::HasShare(std::uint64_t aKey,
-                      std::size_t aParts,
+                      std::size_t aShareCount,
                       TimePoint aNow) const
 {
   const std::uint64_t own = CombineHashes(aKey, this->ownHash);
-  std::size_t before = 0;
+  std::size_t preceding = 0;
   for (const auto& [id, peer] : this->peers) {
-    const bool goesBefore =
+    const bool precedes =
       this->IsSharing(peer, aNow) && CombineHashes(aKey, peer.hash) > own;
-    before += goesBefore ? 1 : 0;
+    preceding += precedes ? 1 : 0;
   }
-  return before < aParts;
+  return preceding < aShareCount;
 }
 
 } // namespace toucanshed
--- a/src/coord/LimitShares.h
+++ b/src/coord/LimitShares.h
@@ -1,5 +1,5 @@
 /** \file
- * The daemons among which a rate that belongs to all of them is divided.
+ * Divides a rate that belongs to all daemons among them.
  */
 #pragma once
 
@@ -13,57 +13,59 @@
 namespace toucanshed {
 
 /**
- * Daemons that see different peers must not come to use the same part of a
- * rate. So a part stays with a daemon that has fallen silent until it must have
- * ceased to use it: a daemon uses its parts only while it hears more than half
- * of all that it knows, and not before all others must have heard of it. Of two
- * groups that are cut apart at most one goes on, and the parts of the other
- * lie idle before they are taken over.
+ * Assigns shares of a rate to daemons such that daemons that see different
+ * peers never use the same share.
+ *
+ * A share stays with an unreachable daemon until that daemon must have stopped
+ * using it. A daemon uses its shares only while it receives heartbeats from
+ * more than half of all known daemons, itself included, and only once all
+ * others must have received one from it. So of two partitions at most one goes
+ * on, and the shares of the other are idle before they are reassigned.
  *
  * Thread safety: none; the owner serialises.
  */
 class LimitShares
 {
 public:
-  /** So many times the silence after which a daemon is not heard pass before
-   * its part goes to others. It has ceased to use it after one. */
+  /** A daemon's share goes to others after this many peer timeouts. The daemon
+   * stops using it after one. */
   static constexpr int kTimeoutsBeforeReassignment = 3;
-  /** A daemon that has been silent for so long does not count as one that might
-   * be heard any more. */
+  /** A daemon without a heartbeat for this long no longer counts as known. */
   static constexpr Millis kPeerRetention{ 60000 };
 
-  LimitShares(DaemonId aSelf, TimePoint aStarted);
+  LimitShares(DaemonId aSelf, TimePoint aStartedAt);
 
   /** The store lists the daemon. */
   void AddPeer(const DaemonId& aId, TimePoint aNow);
-  /** The store's list was read; before that it is not known who shares. */
+  /** The list of daemons in the store was read; before that the sharing daemons
+   * are unknown. */
   void MarkListRead() { this->listRead = true; }
   void RecordHeartbeat(const DaemonId& aId, TimePoint aNow);
   void Expire(TimePoint aNow);
-  /** Sets after how long without a word a daemon is not heard any more. */
-  void SetPeerTimeout(Millis aSilence) { this->peerTimeout = aSilence; }
+  /** Sets how long after its last heartbeat a daemon counts as unreachable. */
+  void SetPeerTimeout(Millis aTimeout) { this->peerTimeout = aTimeout; }
 
-  /** Whether this daemon may use its parts. */
+  /** Whether this daemon may use its shares. */
   [[nodiscard]] bool CanUseShares(TimePoint aNow) const;
-  /** All daemons known, this one with them: those that are not heard too, as
-   * they may be up. */
+  /** All known daemons, including this one and those that timed out, as they
+   * may be running. */
   [[nodiscard]] std::size_t KnownDaemons() const
   {
     return this->peers.size() + 1;
   }
-  /** Daemons that share now, this one with them. */
+  /** Daemons that hold shares now, including this one. */
   [[nodiscard]] std::size_t SharingDaemons(TimePoint aNow) const;
-  /** Whether this daemon is one of the aParts that share what aKey names, by
-   * rendezvous hashing. */
+  /** Whether this daemon holds one of the aShareCount shares of the rate that
+   * aKey identifies. The holders are selected by rendezvous hashing. */
   [[nodiscard]] bool HasShare(std::uint64_t aKey,
-                              std::size_t aParts,
+                              std::size_t aShareCount,
                               TimePoint aNow) const;
 
 private:
   struct Peer
   {
     std::uint64_t hash = 0;
-    TimePoint lastSeenAt; // known or last heard
+    TimePoint lastSeenAt; // first listed or last heartbeat
     bool hasHeartbeat = false;
   };
 
--- a/src/coord/QuotaExchange.cpp
+++ b/src/coord/QuotaExchange.cpp
@@ -28,36 +28,36 @@
 }
 
 void
-QuotaExchange::ReceiveReport(const serving::QuotaReport& aWord,
-                             QuotaReportTiming aTelling,
+QuotaExchange::ReceiveReport(const serving::QuotaReport& aReport,
+                             QuotaReportTiming aTiming,
                              TimePoint aNow)
 {
-  const DaemonId id{ aWord.id() };
+  const DaemonId id{ aReport.id() };
   if (id.Empty() || id == this->self) {
     return;
   }
   this->AddPeer(id, aNow);
   Peer& peer = this->peers.at(id);
-  if (peer.reportAt && aWord.life() < peer.incarnation) {
-    return; // it has started again since
-  }
-  const bool startedAgain = peer.reportAt && aWord.life() > peer.incarnation;
-  if (startedAgain) {
-    for (auto& [team, use] : peer.usage) {
-      use = TeamUsage{}; // it counts from 0 again
-      use.reportedAt = aNow;
-      use.rateUpdatedAt = aNow;
+  if (peer.reportAt && aReport.life() < peer.incarnation) {
+    return; // the report is of an earlier incarnation
+  }
+  const bool restarted = peer.reportAt && aReport.life() > peer.incarnation;
+  if (restarted) {
+    for (auto& [team, teamUsage] : peer.usage) {
+      teamUsage = TeamUsage{}; // it counts from 0 again
+      teamUsage.reportedAt = aNow;
+      teamUsage.rateUpdatedAt = aNow;
     }
   }
-  peer.incarnation = aWord.life();
-  if (aTelling == QuotaReportTiming::ePeriodic) {
+  peer.incarnation = aReport.life();
+  if (aTiming == QuotaReportTiming::ePeriodic) {
     if (peer.periodicReportAt) {
       peer.reportInterval = aNow - *peer.periodicReportAt;
     }
     peer.periodicReportAt = aNow;
   }
-  for (const serving::TeamQuotaState& team : aWord.teams()) {
-    ReceiveTeamReport(peer, team, aTelling, aNow);
+  for (const serving::TeamQuotaState& team : aReport.teams()) {
+    ReceiveTeamReport(peer, team, aTiming, aNow);
   }
   peer.reportAt = aNow;
 }
@@ -65,57 +65,59 @@
 void
 QuotaExchange::ReceiveTeamReport(Peer& aPeer,
                                  const serving::TeamQuotaState& aTeam,
-                                 QuotaReportTiming aTelling,
+                                 QuotaReportTiming aTiming,
                                  TimePoint aNow)
 {
   const auto [entry, isNew] = aPeer.usage.try_emplace(TeamId{ aTeam.team() });
-  TeamUsage& use = entry->second;
-  use.level = aTeam.settled() ? std::optional(aTeam.level()) : std::nullopt;
-  const bool firstWord = isNew && !aPeer.reportAt;
-  // The level that a settled daemon tells, and that is taken over here, has its
-  // use already. And what one took while it was not heard, its part was kept
-  // for; counted as well, it would leave the copies of both sides empty as soon
-  // as they hear each other again, though the team is within its limit.
-  if (use.timedOut || (firstWord && aTeam.settled())) {
-    SetBaseline(use, aTeam.taken(), aNow);
+  TeamUsage& teamUsage = entry->second;
+  teamUsage.level =
+    aTeam.settled() ? std::optional(aTeam.level()) : std::nullopt;
+  const bool firstReport = isNew && !aPeer.reportAt;
+  // The level that a synced daemon reports, and that this daemon takes over,
+  // already includes its usage. What a daemon granted while it was unreachable
+  // came from its reserved share. If that were counted too, the buckets on both
+  // sides would be empty as soon as the partition ends, although the team is
+  // within its limit.
+  if (teamUsage.timedOut || (firstReport && aTeam.settled())) {
+    SetBaseline(teamUsage, aTeam.taken(), aNow);
     return;
   }
   if (isNew) {
-    use.reportedAt = aPeer.reportAt.value_or(aNow);
-    use.rateUpdatedAt = use.reportedAt;
+    teamUsage.reportedAt = aPeer.reportAt.value_or(aNow);
+    teamUsage.rateUpdatedAt = teamUsage.reportedAt;
   }
-  if (aTeam.taken() < use.reported) {
-    return; // overtaken by a newer word
+  if (aTeam.taken() < teamUsage.reported) {
+    return; // a newer report has arrived before
   }
-  use.reported = aTeam.taken();
-  use.reportedAt = aNow;
-  // What is told at once comes right behind a request; a rate taken up to then
+  teamUsage.reported = aTeam.taken();
+  teamUsage.reportedAt = aNow;
+  // An immediate report comes right after a request; a rate computed up to then
   // would look like a flood.
-  if (aTelling == QuotaReportTiming::ePeriodic) {
-    UpdateRate(use, aNow);
+  if (aTiming == QuotaReportTiming::ePeriodic) {
+    UpdateRate(teamUsage, aNow);
   }
 }
 
 void
-QuotaExchange::SetBaseline(TeamUsage& aUse, double aTaken, TimePoint aNow)
+QuotaExchange::SetBaseline(TeamUsage& aUsage, double aTotal, TimePoint aNow)
 {
-  aUse.reported = aTaken;
-  aUse.applied = aTaken;
-  aUse.reportedAt = aNow;
-  aUse.rateBaseline = aTaken;
-  aUse.rateUpdatedAt = aNow;
-  aUse.timedOut = false;
+  aUsage.reported = aTotal;
+  aUsage.applied = aTotal;
+  aUsage.reportedAt = aNow;
+  aUsage.rateBaseline = aTotal;
+  aUsage.rateUpdatedAt = aNow;
+  aUsage.timedOut = false;
 }
 
 void
-QuotaExchange::UpdateRate(TeamUsage& aUse, TimePoint aNow)
+QuotaExchange::UpdateRate(TeamUsage& aUsage, TimePoint aNow)
 {
-  const double passed = std::max(1.0, Count(aNow - aUse.rateUpdatedAt));
-  const double perMs = (aUse.reported - aUse.rateBaseline) / passed;
+  const double passed = std::max(1.0, Count(aNow - aUsage.rateUpdatedAt));
+  const double perMs = (aUsage.reported - aUsage.rateBaseline) / passed;
   const double weight = std::min(1.0, passed / kRateAveragingMs);
-  aUse.ratePerMs += weight * (perMs - aUse.ratePerMs);
-  aUse.rateBaseline = aUse.reported;
-  aUse.rateUpdatedAt = aNow;
+  aUsage.ratePerMs += weight * (perMs - aUsage.ratePerMs);
+  aUsage.rateBaseline = aUsage.reported;
+  aUsage.rateUpdatedAt = aNow;
 }
 
 void
@@ -128,69 +130,72 @@
 }
 
 std::map<TeamId, double>
-QuotaExchange::TakeRemoteUsage(TimePoint aNow, Millis aSilent)
+QuotaExchange::TakeRemoteUsage(TimePoint aNow, Millis aTimeout)
 {
-  std::map<TeamId, double> news;
+  std::map<TeamId, double> usage;
   for (auto& [id, peer] : this->peers) {
-    for (auto& [team, use] : peer.usage) {
-      use.timedOut =
-        use.timedOut || (peer.reportAt && aNow - *peer.reportAt > aSilent);
-      // Most teams use most daemons rarely, and there are hundreds of each.
-      const bool idle = use.ratePerMs == 0 && use.applied == use.reported;
+    for (auto& [team, teamUsage] : peer.usage) {
+      teamUsage.timedOut = teamUsage.timedOut ||
+                           (peer.reportAt && aNow - *peer.reportAt > aTimeout);
+      // Most teams rarely use most of the daemons, and there are hundreds of
+      // each.
+      const bool idle =
+        teamUsage.ratePerMs == 0 && teamUsage.applied == teamUsage.reported;
       if (idle) {
         continue;
       }
-      const Millis silent = std::min(aNow - use.reportedAt, aSilent);
-      const double counted = use.reported + use.ratePerMs * Count(silent);
-      news[team] += counted - use.applied;
-      use.applied = counted;
+      const Millis elapsed = std::min(aNow - teamUsage.reportedAt, aTimeout);
+      const double counted =
+        teamUsage.reported + teamUsage.ratePerMs * Count(elapsed);
+      usage[team] += counted - teamUsage.applied;
+      teamUsage.applied = counted;
     }
   }
-  return news;
+  return usage;
 }
 
 double
 QuotaExchange::ReachableShare(TimePoint aNow,
-                              Millis aSilent,
+                              Millis aTimeout,
                               bool aReachesStore) const
 {
-  double heard = 1;
-  double silent = 0;
-  double gone = 0;
+  double reachable = 1;
+  double unreachable = 0;
+  double expired = 0;
   for (const auto& [id, peer] : this->peers) {
     const Millis since = aNow - peer.reportAt.value_or(peer.knownSince);
-    if (peer.reportAt && since <= aSilent) {
-      ++heard;
+    if (peer.reportAt && since <= aTimeout) {
+      ++reachable;
     } else if (since <= kShareRetention) {
-      ++silent;
+      ++unreachable;
     } else {
-      ++gone;
+      ++expired;
     }
   }
-  const bool alone = heard == 1 && !this->peers.empty();
+  const bool alone = reachable == 1 && !this->peers.empty();
   if (alone && !aReachesStore) {
-    return heard / (heard + silent + gone);
+    return reachable / (reachable + unreachable + expired);
   }
   if (!this->listRead && this->peers.empty()) {
     return 0;
   }
-  return heard / (heard + silent);
+  return reachable / (reachable + unreachable);
 }
 
 Millis
 QuotaExchange::ReportInterval(TimePoint aNow,
-                              Millis aSilent,
-                              Millis aUsual) const
+                              Millis aTimeout,
+                              Millis aDefault) const
 {
   Millis sum{ 0 };
   std::int64_t known = 0;
   for (const auto& [id, peer] : this->peers) {
-    if (peer.reportInterval && aNow - *peer.periodicReportAt <= aSilent) {
+    if (peer.reportInterval && aNow - *peer.periodicReportAt <= aTimeout) {
       sum += std::max(*peer.reportInterval, aNow - *peer.periodicReportAt);
       ++known;
     }
   }
-  return known == 0 ? aUsual : sum / known;
+  return known == 0 ? aDefault : sum / known;
 }
 
 std::optional<double>
@@ -199,9 +204,10 @@
   std::optional<double> lowest;
   for (const auto& [id, peer] : this->peers) {
     const auto found = peer.usage.find(aTeam);
-    const bool told = found != peer.usage.end() && found->second.level &&
-                      peer.reportAt && aNow - *peer.reportAt <= kShareRetention;
-    if (told) {
+    const bool isCurrent = found != peer.usage.end() && found->second.level &&
+                           peer.reportAt &&
+                           aNow - *peer.reportAt <= kShareRetention;
+    if (isCurrent) {
       lowest =
         std::min(lowest.value_or(*found->second.level), *found->second.level);
     }
--- a/src/coord/QuotaExchange.h
+++ b/src/coord/QuotaExchange.h
@@ -1,6 +1,6 @@
 /** \file
- * What the other daemons have let through for each team, and the part of the
- * limits that may be given out here.
+ * Tracks the quota that the other daemons have used for each team, and the
+ * share of the quotas that this daemon may grant.
  */
 #pragma once
 
@@ -12,34 +12,34 @@
 
 namespace toucanshed {
 
-/** When a word about the limits is said. */
+/** Why a quota report was sent. */
 enum class QuotaReportTiming
 {
-  ePeriodic,  // at a time that has nothing to do with requests
-  eImmediate, // right behind a request, or asked for
+  ePeriodic,  // at an interval, independent of requests
+  eImmediate, // right after a request, or on demand
 };
 
 /**
- * Daemons tell running totals, so a lost or repeated word does no harm and the
- * next one makes good what was missed.
+ * Exchanges quota reports between daemons. Reports carry running totals, so a
+ * lost or repeated report does no harm and the next one makes up for it.
  *
- * A daemon gives out only the part of a limit that stands for the daemons it
- * hears. After all of them were killed at once none hears another, and each
- * taking the whole limit for itself would let a flooding team through as many
- * times over as there are daemons; so would two groups that are cut off from
- * each other. The parts of all groups sum up to the limit.
+ * A daemon grants only the share of a quota that corresponds to the daemons it
+ * can reach. After a crash of all daemons none of them has received a report
+ * from another. If each of them granted the whole quota, a flooding team would
+ * get it once per daemon; the same holds for two partitions. The shares of all
+ * partitions add up to the quota.
  *
  * Thread safety: none; the owner serialises.
  */
 class QuotaExchange
 {
 public:
-  /** The part of a daemon that is not heard is kept for it for this long after
-   * its last word; its callers have gone elsewhere by then. */
+  /** The share of an unreachable daemon stays reserved for this long after its
+   * last report; its callers have moved to other daemons by then. */
   static constexpr Millis kShareRetention{ 6000 };
 
-  /** A daemon that has not been heard for this long is forgotten, so that the
-   * table does not grow with each machine that is replaced. */
+  /** A daemon without a report for this long is dropped, so that the table does
+   * not grow with each replaced machine. */
   static constexpr Millis kPeerRetention{ 300000 };
 
   explicit QuotaExchange(DaemonId aSelf)
@@ -47,60 +47,64 @@
   {
   }
 
-  /** A daemon is listed in the store, and may be serving unheard. */
+  /** The store lists a daemon; it may be serving although no report of it has
+   * been received. */
   void AddPeer(const DaemonId& aId, TimePoint aNow);
-  /** The list of daemons has been read. Before that and the first word it is
-   * not known with how many the limits are shared. */
+  /** The list of daemons was read. Before that, and before the first report,
+   * the number of daemons that share the quotas is unknown. */
   void MarkListRead() { this->listRead = true; }
-  /** Takes in a daemon's totals. A word of an earlier life than the newest one
-   * heard is dropped; smaller totals than known ones were overtaken. */
-  void ReceiveReport(const serving::QuotaReport& aWord,
-                     QuotaReportTiming aTelling,
+  /** Records a daemon's totals. A report of an earlier incarnation than the
+   * latest one received is dropped; totals smaller than the recorded ones are
+   * out of date and ignored. */
+  void ReceiveReport(const serving::QuotaReport& aReport,
+                     QuotaReportTiming aTiming,
                      TimePoint aNow);
 
-  /** Forgets daemons that have been silent for kForgotten. */
+  /** Drops daemons without a report for kPeerRetention. */
   void Expire(TimePoint aNow);
 
-  /** What the other daemons let through for each team since this was last
-   * asked: by their words, and beyond these guessed from how they went on until
-   * then. The next word makes a guess good. Without it every daemon would give
-   * out the whole refill between two words, and together many times the limit.
-   * \param aSilent as for HeardPart: what a daemon that is not heard may take
-   *   is kept by its part, and guessed as well it would be taken twice */
-  std::map<TeamId, double> TakeRemoteUsage(TimePoint aNow, Millis aSilent);
-
-  /** Part of each limit that stands for this daemon and those it hears, in
-   * 0..1.
-   * \param aSilent time without a word after which a daemon is not heard
-   * \param aReachesStore a daemon that hears nobody and does not reach the
-   *   store is itself cut off, and keeps to its part for as long as it is */
+  /** Quota that the other daemons granted to each team since the last call: the
+   * reported amounts, extrapolated at each daemon's latest rate. The next
+   * report corrects the estimate. Without the extrapolation every daemon would
+   * grant the whole refill between two reports, many times the quota together.
+   * \param aTimeout as for ReachableShare; extrapolation stops there, as the
+   *   reserved share already covers what an unreachable daemon may grant, and
+   *   it would be counted twice */
+  std::map<TeamId, double> TakeRemoteUsage(TimePoint aNow, Millis aTimeout);
+
+  /** Share of each quota, in 0..1, that corresponds to this daemon and the
+   * daemons it can reach.
+   * \param aTimeout time without a report after which a daemon is unreachable
+   * \param aReachesStore whether this daemon reaches the store. A daemon that
+   *   reaches neither a peer nor the store is itself cut off, and keeps to its
+   *   own share for as long as that lasts */
   [[nodiscard]] double ReachableShare(TimePoint aNow,
-                                      Millis aSilent,
+                                      Millis aTimeout,
                                       bool aReachesStore) const;
 
-  /** How far the regular words of the daemons that are heard are apart, in the
-   * mean.
-   * \param aUsual how far they are apart while none has come twice */
+  /** Mean interval between the periodic reports of the reachable daemons.
+   * \param aDefault the interval while no daemon has sent two reports */
   [[nodiscard]] Millis ReportInterval(TimePoint aNow,
-                                      Millis aSilent,
-                                      Millis aUsual) const;
+                                      Millis aTimeout,
+                                      Millis aDefault) const;
 
-  /** The lowest level of a team's bucket that a daemon which knows it has told;
-   * nothing when none has. */
+  /** Lowest bucket level of a team among those reported by synced daemons;
+   * nothing when none has reported one. */
   [[nodiscard]] std::optional<double> ReportedLevel(const TeamId& aTeam,
                                                     TimePoint aNow) const;
 
 private:
-  /** A team's use of its limit at another daemon. */
+  /** Quota that a team has used at another daemon. */
   struct TeamUsage
   {
-    double reported = 0; // by its last word
-    double applied = 0;  // given out by TakeUse, guesses too
+    double reported = 0; // by its last report
+    double applied = 0;  // returned by TakeRemoteUsage, with estimates
     double ratePerMs = 0;
     TimePoint reportedAt;
-    double rateBaseline = 0; // the rate is known up to here
+    double rateBaseline = 0; // total at the last update of the rate
     TimePoint rateUpdatedAt;
-    /** Since its last word, for so long that its part was kept for it. */
+    /** The daemon was unreachable since its last report, for so long that its
+     * share was reserved for it. */
     bool timedOut = false;
     std::optional<double> level;
   };
@@ -110,17 +114,18 @@
     TimePoint knownSince;
     std::optional<TimePoint> reportAt;
     std::uint64_t incarnation = 0;
-    std::optional<TimePoint> periodicReportAt; // its last regular word
-    std::optional<Millis> reportInterval;      // between its last two
+    std::optional<TimePoint> periodicReportAt; // last periodic report
+    std::optional<Millis> reportInterval;      // between the last two
     std::map<TeamId, TeamUsage> usage;
   };
 
-  /** Counts from a told total on; what came before is not this daemon's. */
-  static void SetBaseline(TeamUsage& aUse, double aTaken, TimePoint aNow);
-  static void UpdateRate(TeamUsage& aUse, TimePoint aNow);
+  /** Counts usage from a reported total on; earlier usage does not count here.
+   */
+  static void SetBaseline(TeamUsage& aUsage, double aTotal, TimePoint aNow);
+  static void UpdateRate(TeamUsage& aUsage, TimePoint aNow);
   static void ReceiveTeamReport(Peer& aPeer,
                                 const serving::TeamQuotaState& aTeam,
-                                QuotaReportTiming aTelling,
+                                QuotaReportTiming aTiming,
                                 TimePoint aNow);
 
   DaemonId self;
--- a/src/coord/RetryBudget.h
+++ b/src/coord/RetryBudget.h
@@ -8,18 +8,19 @@
 namespace toucanshed {
 
 /**
- * When back ends fail, every request that is tried again adds load to those
- * that still work; without a bound the retries alone can bring them down. Each
- * first try earns a part of a retry, so retries never exceed that share.
+ * When back ends fail, every retry adds load to those that still work; without
+ * a bound the retries alone can overload them. Each first attempt earns a
+ * fraction of a retry, so retries never exceed that fraction.
  *
  * Thread safety: none; the owner serialises.
  */
 class RetryBudget
 {
 public:
-  /** Retries earned by a first try. */
+  /** Retries earned by a first attempt. */
   static constexpr double kRetriesPerRequest = 0.1;
-  /** Retries that may be saved up, for a crash after a calm time. */
+  /** Retries that may accumulate, for a crash after a period without failures.
+   */
   static constexpr double kMaxRetries = 50;
 
   void RecordRequest()
--- a/src/coord/TeamQuotas.cpp
+++ b/src/coord/TeamQuotas.cpp
@@ -21,37 +21,38 @@
 {
   const double gained =
     this->reachableShare * aBucket.rate * Seconds(aNow - aBucket.refilledAt);
-  const double most =
+  const double maxLevel =
     std::max(aBucket.level, this->reachableShare * aBucket.burst);
-  aBucket.level = std::min(aBucket.level + gained, most);
+  aBucket.level = std::min(aBucket.level + gained, maxLevel);
   aBucket.refilledAt = aNow;
 }
 
 void
-TeamQuotas::SetReachableShare(double aPart, TimePoint aNow)
+TeamQuotas::SetReachableShare(double aShare, TimePoint aNow)
 {
-  if (aPart == this->reachableShare) {
+  if (aShare == this->reachableShare) {
     return;
   }
   for (auto& [team, bucket] : this->buckets) {
     this->Refill(bucket, aNow);
-    // What stands for daemons that are not heard any more, they may give out.
-    bucket.level = std::min(bucket.level, aPart * bucket.burst);
-    const bool more = !bucket.synced && aPart > this->reachableShare;
-    if (more) {
-      bucket.level += (aPart - this->reachableShare) * InitialLevel(bucket);
+    // The share of daemons that became unreachable may be granted by those
+    // daemons.
+    bucket.level = std::min(bucket.level, aShare * bucket.burst);
+    const bool gainsShare = !bucket.synced && aShare > this->reachableShare;
+    if (gainsShare) {
+      bucket.level += (aShare - this->reachableShare) * InitialLevel(bucket);
     }
   }
-  this->reachableShare = aPart;
+  this->reachableShare = aShare;
 }
 
 void
-TeamQuotas::SetReportInterval(Millis aGap, TimePoint aNow)
+TeamQuotas::SetReportInterval(Millis aInterval, TimePoint aNow)
 {
-  if (aGap == this->reportInterval) {
+  if (aInterval == this->reportInterval) {
     return;
   }
-  this->reportInterval = aGap;
+  this->reportInterval = aInterval;
   for (auto& [team, bucket] : this->buckets) {
     this->Refill(bucket, aNow);
     this->UpdateRefill(bucket);
@@ -65,17 +66,17 @@
   if (aBucket.allowedOvershoot <= 0) {
     return 0;
   }
-  const double unknown =
+  const double unreported =
     kUnreportedShare * aBucket.limitRate * Seconds(this->reportInterval);
-  return std::max(0.0, 1 - unknown / aBucket.allowedOvershoot);
+  return std::max(0.0, 1 - unreported / aBucket.allowedOvershoot);
 }
 
 double
-TeamQuotas::PlannedOvershoot(const Bucket& aBucket, double aLeast) const
+TeamQuotas::PlannedOvershoot(const Bucket& aBucket, double aMinShare) const
 {
-  const double part =
-    std::clamp(this->UsableTolerance(aBucket), aLeast, kMaxTolerance);
-  return part * aBucket.allowedOvershoot;
+  const double share =
+    std::clamp(this->UsableTolerance(aBucket), aMinShare, kMaxTolerance);
+  return share * aBucket.allowedOvershoot;
 }
 
 void
@@ -99,10 +100,10 @@
 {
   std::map<TeamId, Bucket> next;
   for (const Team& team : aCatalog.teams) {
-    const double whole =
+    const double windowQuota =
       team.ratePerSecond * Seconds(this->tolerance.window) + team.burst;
-    const double mayStray =
-      this->tolerance.overshoot * whole + this->tolerance.slack;
+    const double allowedOvershoot =
+      this->tolerance.overshoot * windowQuota + this->tolerance.slack;
     const auto known = this->buckets.find(team.id);
     Bucket bucket;
     if (known != this->buckets.end()) {
@@ -111,10 +112,10 @@
     }
     bucket.limitRate = team.ratePerSecond;
     bucket.limitBurst = team.burst;
-    bucket.allowedOvershoot = mayStray;
+    bucket.allowedOvershoot = allowedOvershoot;
     this->UpdateRefill(bucket);
     if (known == this->buckets.end()) {
-      // A team that this daemon has seen come into being has used nothing yet.
+      // A team created while this daemon runs has no earlier usage.
       bucket.synced = this->configured;
       bucket.level = this->configured ? bucket.burst : InitialLevel(bucket);
       bucket.refilledAt = aNow;
@@ -136,8 +137,8 @@
   }
   Bucket& bucket = found->second;
   this->Refill(bucket, aNow);
-  // A request larger than half of the bucket could starve behind small ones;
-  // it may use what is there, and the rest is refilled before the next one.
+  // A request larger than half of the bucket could starve behind small ones. It
+  // may overdraw the bucket; the deficit is refilled before the next request.
   const double needed =
     std::min(aCost, this->reachableShare * bucket.burst / 2);
   if (this->reachableShare > 0 && bucket.level >= needed) {
@@ -170,9 +171,9 @@
 {
   std::vector<TeamId> teams;
   const auto window = static_cast<double>(this->tolerance.window.count());
-  const Millis within(static_cast<std::int64_t>(kSyncWindowShare * window));
+  const Millis syncWindow(static_cast<std::int64_t>(kSyncWindowShare * window));
   for (const auto& [team, bucket] : this->buckets) {
-    if (!bucket.synced && aNow - bucket.createdAt < within) {
+    if (!bucket.synced && aNow - bucket.createdAt < syncWindow) {
       teams.push_back(team);
     }
   }
@@ -205,22 +206,22 @@
                     const Bucket& aBucket,
                     TimePoint aNow) const
 {
-  QuotaState copy{ aTeam, this->UsageOf(aTeam).taken, std::nullopt };
+  QuotaState state{ aTeam, this->UsageOf(aTeam).taken, std::nullopt };
   if (this->IsSynced(aBucket, aNow)) {
-    copy.level = aBucket.level;
+    state.level = aBucket.level;
   }
-  return copy;
+  return state;
 }
 
 std::vector<QuotaState>
 TeamQuotas::BucketStates(TimePoint aNow) const
 {
-  std::vector<QuotaState> copies;
-  copies.reserve(this->buckets.size());
+  std::vector<QuotaState> states;
+  states.reserve(this->buckets.size());
   for (const auto& [team, bucket] : this->buckets) {
-    copies.push_back(this->StateOf(team, bucket, aNow));
+    states.push_back(this->StateOf(team, bucket, aNow));
   }
-  return copies;
+  return states;
 }
 
 bool
@@ -232,17 +233,17 @@
   }
   const Bucket& bucket = found->second;
   const bool low = bucket.level < kLowLevel * bucket.burst;
-  const double mayBeUntold = kUnreportedTolerance * bucket.allowedOvershoot /
-                             static_cast<double>(aDaemons);
-  const LocalUsage use = this->UsageOf(aTeam);
-  return low && use.taken - use.reported >= mayBeUntold;
+  const double maxUnreported = kUnreportedTolerance * bucket.allowedOvershoot /
+                               static_cast<double>(aDaemons);
+  const LocalUsage localUsage = this->UsageOf(aTeam);
+  return low && localUsage.taken - localUsage.reported >= maxUnreported;
 }
 
 QuotaState
 TeamQuotas::TakeReport(const TeamId& aTeam, TimePoint aNow)
 {
-  LocalUsage& use = this->usage[aTeam];
-  use.reported = use.taken;
+  LocalUsage& localUsage = this->usage[aTeam];
+  localUsage.reported = localUsage.taken;
   return this->StateOf(aTeam, this->buckets.at(aTeam), aNow);
 }
 
--- a/src/coord/WindowedRetryBudget.cpp
+++ b/src/coord/WindowedRetryBudget.cpp
@@ -16,8 +16,9 @@
   if (seconds.empty() || seconds.back().second != now) {
     seconds.push_back(SecondCounts{ now, 0, 0 });
   }
-  const std::int64_t kept = this->allowance.window.count() / kMillisPerSecond;
-  while (seconds.front().second < now - kept) {
+  const std::int64_t windowSeconds =
+    this->allowance.window.count() / kMillisPerSecond;
+  while (seconds.front().second < now - windowSeconds) {
     seconds.pop_front();
   }
   return seconds.back();
--- a/src/coord/WindowedRetryBudget.h
+++ b/src/coord/WindowedRetryBudget.h
@@ -1,5 +1,6 @@
 /** \file
- * This daemon's part of the retries that a service may be sent in a window.
+ * Bounds this daemon's retries to its share of those that a service may receive
+ * in a window.
  */
 #pragma once
 
@@ -12,7 +13,7 @@
 
 namespace toucanshed {
 
-/** What all daemons together may send again. */
+/** Retries that all daemons together may send. */
 struct RetryAllowance
 {
   double ratio = 0.1; // of the requests in the window
@@ -21,17 +22,17 @@
 };
 
 /**
- * When back ends fail, requests that are sent again add load to those that
- * still work. All daemons share one allowance without talk: each uses the ratio
- * on its own requests and an equal part of the slack, less a margin.
+ * When back ends fail, retries add load to those that still work. All daemons
+ * share one allowance without communication: each applies the ratio to its own
+ * requests, takes an equal share of the slack, and leaves a margin.
  *
  * Thread safety: none; the owner serialises.
  */
 class WindowedRetryBudget
 {
 public:
-  /** Part of the allowance that is used. Windows at different daemons do not
-   * begin alike, and the judge's window slides. */
+  /** Fraction of the allowance that is used. The daemons' windows are not
+   * aligned, and the allowance applies to a sliding window. */
   static constexpr double kUsedShare = 0.8;
 
   explicit WindowedRetryBudget(RetryAllowance aAllowance)
@@ -40,11 +41,11 @@
   }
 
   void RecordRequest(const ServiceId& aService, TimePoint aNow);
-  /** Requests for the service here, in the mean of the window. */
+  /** Mean rate over the window of this daemon's requests for the service. */
   [[nodiscard]] RequestRate RecentRequestRate(const ServiceId& aService,
                                               TimePoint aNow);
   /** Takes one retry. \return false when none is left.
-   * \param aDaemons all that may use the allowance, heard or not */
+   * \param aDaemons all daemons that may use the allowance, reachable or not */
   bool TryTakeRetry(const ServiceId& aService,
                     std::size_t aDaemons,
                     TimePoint aNow);
