--- a/src/coord/DeferralPolicy.h
+++ b/src/coord/DeferralPolicy.h
@@ -1,6 +1,6 @@
 /** \file
- * Whether a request is sent to the engine that would begin it first, while the
- * engines have more to read than they can.
+ * Decides whether a request is sent to the engine that would begin it first, or
+ * waits, while the engines have more to prefill than they can.
  */
 #pragma once
 
@@ -8,54 +8,56 @@
 
 namespace toucanshed {
 
-/** What is known of a request as it is to be sent. */
+/** Properties of a request that is to be sent. */
 struct DeferralInput
 {
-  Millis waited{ 0 };    // since it arrived
-  Millis target{ 0 };    // an answer that begins later is late; 0: none
+  Millis waited{ 0 };    // since its arrival
+  Millis target{ 0 };    // a response that begins later is late; 0: none
   Millis timeLeft{ 0 };  // until its caller's deadline
-  double expectedMs = 0; // from a send until the answer begins
-  double prefillMs = 0;  // of it, for the request's own prompt
-  /** The engine has no other prompt to read. */
+  double expectedMs = 0; // from the send to the start of the response
+  double prefillMs = 0;  // share of it for the request's own prompt
+  /** The engine has no other prompt to prefill. */
   bool queueEmpty = false;
 };
 
 enum class DeferralDecision
 {
   eSend,
-  eDefer,  // ask again soon
-  eReject, // its caller had better come back
+  eDefer,  // decide again after kPollInterval
+  eReject, // its caller should retry later
 };
 
 /**
- * When engines are missing, the prompts sent to those that are left come to
- * more than they can read. If each is sent on at once, all of them wait behind
- * each other and every answer begins late. So a request that would begin late
- * wherever it went stands back for those that can still begin on time, until an
- * engine is nearly free. While none is for long, its caller is told to come
- * back, when the missing engines have been replaced: sent on late, it would
- * make others late that are not yet.
+ * When engines are missing, the prompts for the remaining ones exceed their
+ * prefill capacity. If each request were sent at once, all would queue behind
+ * each other and every response would begin late. So a request that would begin
+ * late on any engine is deferred until an engine is nearly idle, in favour of
+ * requests that can still begin on time. If no engine becomes nearly idle for
+ * long, the request is rejected, so that its caller retries when the missing
+ * engines have been replaced. Sent late, it would delay requests that are still
+ * on time.
  *
  * Thread safety: pure.
  */
 class DeferralPolicy
 {
 public:
-  /** An engine is nearly free when an answer would begin within this part of
-   * the target. */
+  /** An engine is nearly idle when a response would begin within this fraction
+   * of the target. */
   static constexpr double kNearlyIdleShare = 0.6;
-  /** A prompt that is read within this part of the target makes no other late.
-   * Standing back for others would cost its caller more than it saves them. */
+  /** A prompt that prefills within this fraction of the target makes no other
+   * request late. Deferring it would cost its caller more than it saves others.
+   */
   static constexpr double kShortPromptShare = 0.1;
-  /** A request stands back for so many times its target at most; its caller
-   * must have time left to come back in. */
+  /** A request is deferred for at most this many targets; its caller must have
+   * time left to retry. */
   static constexpr double kMaxDeferralTargets = 1.5;
-  /** How often a request that stands back asks again. */
+  /** How often a deferred request is decided again. */
   static constexpr Millis kPollInterval{ 40 };
 
-  /** What to do with a request now. Its caller asks again after kLook while the
-   * answer is eWait. */
-  [[nodiscard]] static DeferralDecision Decide(const DeferralInput& aChance);
+  /** Decides what to do with a request now. The caller decides again after
+   * kPollInterval while the result is eDefer. */
+  [[nodiscard]] static DeferralDecision Decide(const DeferralInput& aInput);
 };
 
 } // namespace toucanshed
--- a/src/coord/LeavingIncarnations.cpp
+++ b/src/coord/LeavingIncarnations.cpp
@@ -4,15 +4,15 @@
 
 bool
 LeavingIncarnations::IsLeaving(const InstanceId& aId,
-                               const std::string& aLife,
+                               const std::string& aIncarnation,
                                bool aListed)
 {
   if (!aListed) {
     this->incarnations.erase(aId);
     return false;
   }
-  const auto [entry, first] = this->incarnations.try_emplace(aId, aLife);
-  return entry->second == aLife;
+  const auto [entry, first] = this->incarnations.try_emplace(aId, aIncarnation);
+  return entry->second == aIncarnation;
 }
 
 } // namespace toucanshed
--- a/src/coord/LeavingIncarnations.h
+++ b/src/coord/LeavingIncarnations.h
@@ -1,5 +1,6 @@
 /** \file
- * Which life of an instance the platform's list means by "leaving".
+ * Determines which incarnation of an instance the platform's list marks as
+ * leaving.
  */
 #pragma once
 
@@ -11,21 +12,24 @@
 namespace toucanshed {
 
 /**
- * The list names instances, not lives, and lags. When an instance is reclaimed
- * and a new process starts under its name, the list calls it leaving for some
- * time yet; taken at its word, the new process would get no work for as long as
- * the mark is kept. So the word counts for the life that was there when the
- * list first gave it, until the list takes it back.
+ * The list names instances, not incarnations, and lags. When an instance is
+ * reclaimed and a new process starts under its name, the list marks it as
+ * leaving for some more time. If the mark applied to the new process, that
+ * process would get no requests for as long as the mark stays. So the mark
+ * applies to the incarnation that ran when the list first set it, until the
+ * list removes it.
  *
  * Thread safety: none; the owner serialises.
  */
 class LeavingIncarnations
 {
 public:
-  /** \param aListed whether the list calls the instance leaving now.
-   *  \param aLife the life that answers there now.
-   *  \return whether this very life is leaving by the list. */
-  bool IsLeaving(const InstanceId& aId, const std::string& aLife, bool aListed);
+  /** \param aIncarnation the incarnation that runs now
+   * \param aListed whether the list marks the instance as leaving now
+   * \return whether this incarnation is leaving according to the list */
+  bool IsLeaving(const InstanceId& aId,
+                 const std::string& aIncarnation,
+                 bool aListed);
 
 private:
   std::map<InstanceId, std::string> incarnations;
--- a/src/coord/ListRevisions.h
+++ b/src/coord/ListRevisions.h
@@ -1,6 +1,6 @@
 /** \file
- * Which record of each key of a list was applied last, when records come both
- * from the store and by other daemons' words.
+ * Tracks which record of each key of a list was applied last, when records come
+ * from the store and from other daemons' reports.
  */
 #pragma once
 
@@ -15,51 +15,53 @@
 
 namespace toucanshed {
 
-/** A record of the list as the store gave it. */
+/** A record of the list as read from the store. */
 struct ListChange
 {
   std::string key;
   std::optional<std::string> value; // nothing: the entry is gone
   Position position;
   TimePoint readAt;
-  bool leaving = false; // nothing else of the entry matters any more
+  bool leaving = false; // the rest of the entry no longer matters
 };
 
 /**
- * Records by word may come late, twice or out of order. By its position in the
- * topic an older one is known and dropped, so that an engine that has left is
- * not listed again.
+ * Records in reports may arrive late, twice or out of order. A record with an
+ * older position in the topic than the applied one is dropped, so that an
+ * engine that has left is not listed again.
  *
  * Thread safety: none; the owner serialises.
  */
 class ListRevisions
 {
 public:
-  /** How long a change is told again, so that a lost datagram is made good by
-   * the next ones. */
+  /** How long a change is repeated in reports, so that the next ones make up
+   * for a lost datagram. */
   static constexpr Millis kReportWindow{ 1800 };
-  /** Changes in one word; with more, who lacks them reads the list. */
+  /** Changes in one report; a daemon that misses more of them reads the list.
+   */
   static constexpr std::size_t kMaxReported = 60;
-  /** Keys remembered; some thousand engines and as many that have gone. At the
-   * bound all are forgotten but where the newest one stood. */
+  /** Upper bound of the keys: several thousand engines and as many that have
+   * gone. Beyond it all keys are dropped and only the highest position is kept.
+   */
   static constexpr std::size_t kMaxKeys = 20000;
 
-  /** \return whether a record is newer than what is here; then it counts as
-   * applied. */
+  /** \return whether the record is newer than the applied one; it then counts
+   *   as applied. */
   bool TryAdvance(const std::string& aKey, Position aPosition)
   {
     Position& known = this->latestPositions[aKey];
-    const bool news = aPosition >= this->minPosition && known <= aPosition;
-    if (news) {
+    const bool isNewer = aPosition >= this->minPosition && known <= aPosition;
+    if (isNewer) {
       known = aPosition;
     }
     if (this->latestPositions.size() > kMaxKeys) {
       this->RecordFullRead(this->HighestPosition());
     }
-    return news;
+    return isNewer;
   }
-  /** The whole list was read; it holds all records before aEnd. A word may
-   * have told newer ones while it was on its way; these stay known. */
+  /** The whole list was read; it holds all records before aEnd. Newer records
+   * that a report brought during the read stay applied. */
   void RecordFullRead(Position aEnd)
   {
     this->minPosition = std::max(this->minPosition, aEnd);
@@ -68,27 +70,27 @@
     });
   }
 
-  /** A change that this daemon has read in the store. */
+  /** Adds a change that this daemon has read from the store. */
   void AddChange(ListChange aChange)
   {
     this->changes.push_back(std::move(aChange));
   }
-  /** Changes to be told, the newest ones if there are too many. */
+  /** Changes to report; the latest ones if there are too many. */
   [[nodiscard]] const std::deque<ListChange>& ChangesToReport(TimePoint aNow)
   {
-    const auto over = [&] {
+    const auto mustDrop = [&] {
       return this->changes.size() > kMaxReported ||
              (!this->changes.empty() &&
               aNow - this->changes.front().readAt > kReportWindow);
     };
-    while (over()) {
+    while (mustDrop()) {
       this->changes.pop_front();
     }
     return this->changes;
   }
 
 private:
-  /** The newest record that was applied. */
+  /** Position of the newest applied record. */
   [[nodiscard]] Position HighestPosition() const
   {
     Position highest;
--- a/src/coord/PrefixCacheIndex.cpp
+++ b/src/coord/PrefixCacheIndex.cpp
@@ -19,14 +19,14 @@
 } // namespace
 
 void
-PrefixCacheIndex::RecordUse(const std::string& aPart,
+PrefixCacheIndex::RecordUse(const std::string& aSection,
                             const InstanceId& aBackend,
                             TimePoint aNow)
 {
-  if (aPart.empty()) {
+  if (aSection.empty()) {
     return;
   }
-  LastUses& uses = this->sections[aPart];
+  LastUses& uses = this->sections[aSection];
   std::erase_if(uses, [aNow](const auto& aUse) {
     return aNow - aUse.second > kEntryRetention;
   });
@@ -39,35 +39,37 @@
 void
 PrefixCacheIndex::DropOldest()
 {
-  // A half at a time, so that the search for the oldest ones is rare.
+  // Drops half of the sections at a time, so that the search for the oldest
+  // ones is rare.
   std::vector<TimePoint> uses;
   uses.reserve(this->sections.size());
-  for (const auto& [part, holders] : this->sections) {
-    uses.push_back(LastUse(holders));
+  for (const auto& [section, cachedBackends] : this->sections) {
+    uses.push_back(LastUse(cachedBackends));
   }
   const auto middle =
     uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
   std::nth_element(uses.begin(), middle, uses.end());
   const TimePoint oldest = *middle;
-  std::erase_if(this->sections, [oldest](const auto& aPart) {
-    return LastUse(aPart.second) < oldest;
+  std::erase_if(this->sections, [oldest](const auto& aEntry) {
+    return LastUse(aEntry.second) < oldest;
   });
 }
 
 std::vector<InstanceId>
-PrefixCacheIndex::CachedBackends(const std::string& aPart, TimePoint aNow) const
+PrefixCacheIndex::CachedBackends(const std::string& aSection,
+                                 TimePoint aNow) const
 {
-  std::vector<InstanceId> holders;
-  const auto found = this->sections.find(aPart);
+  std::vector<InstanceId> cachedBackends;
+  const auto found = this->sections.find(aSection);
   if (found == this->sections.end()) {
-    return holders;
+    return cachedBackends;
   }
   for (const auto& [backend, at] : found->second) {
     if (aNow - at <= kEntryRetention) {
-      holders.push_back(backend);
+      cachedBackends.push_back(backend);
     }
   }
-  return holders;
+  return cachedBackends;
 }
 
 } // namespace toucanshed
--- a/src/coord/PromptSection.h
+++ b/src/coord/PromptSection.h
@@ -1,5 +1,5 @@
 /** \file
- * A part of a request's prompt, as the engines' prefix caches know it.
+ * A section of a request's prompt, the unit of the engines' prefix caches.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace toucanshed {
 
-/** Requests share parts; the last one belongs to the request alone. */
+/** Requests may share sections; the last one belongs to the request alone. */
 struct PromptSection
 {
   std::string id;
--- a/src/coord/RateMeter.h
+++ b/src/coord/RateMeter.h
@@ -1,5 +1,5 @@
 /** \file
- * How much of something there is a second, lately.
+ * Measures the recent rate per second of an amount.
  */
 #pragma once
 
@@ -9,12 +9,14 @@
 
 namespace toucanshed {
 
-/** Thread safety: none; the owner serialises. */
+/** Exponentially decaying average of a rate.
+ *
+ * Thread safety: none; the owner serialises. */
 class RateMeter
 {
 public:
-  /** Time over which is averaged: short enough to follow a peak as it begins,
-   * long enough that one large prompt does not sway it. */
+  /** Averaging time: short enough to follow a peak as it begins, long enough
+   * that one large prompt does not dominate the rate. */
   static constexpr Millis kAveragingTime{ 3000 };
 
   void Add(double aAmount, TimePoint aNow)
--- a/src/coord/ReadBackoff.h
+++ b/src/coord/ReadBackoff.h
@@ -1,5 +1,5 @@
 /** \file
- * How long a daemon waits before it tries a failed read of the store again.
+ * Computes the delay before a daemon retries a failed read of the store.
  */
 #pragma once
 
@@ -11,30 +11,31 @@
 namespace toucanshed {
 
 /**
- * One failed call says little of the store, while the daemon's copy grows
- * older, so the first pause is short. In an outage each further one is twice
- * as long, up to so much that all daemons together ask at a bounded rate.
+ * A single failed call says little about the store, while the daemon's copy
+ * ages, so the first delay is short. In an outage each further delay is twice
+ * as long, up to a bound that limits the request rate of all daemons together.
  *
  * Thread safety: none; the owner serialises.
  */
 class ReadBackoff
 {
 public:
-  /** Often enough that a change made as the store returns is in force within
-   * its bound. */
+  /** Short enough that a change made when the store returns is in force within
+   * its time bound. */
   static constexpr Millis kInitialDelay{ 200 };
-  /** The longest pause for each daemon there is: 90 calls a second in all. */
+  /** Upper bound of the delay per daemon: 90 calls per second over all daemons.
+   */
   static constexpr Millis kMaxDelayPerDaemon{ 11 };
 
-  /** A read has failed. \return how long to wait.
-   * \param aDaemons all daemons that may be asking, at least 1 */
+  /** A read has failed. \return how long to wait before the next one
+   * \param aDaemons all daemons that may be reading, at least 1 */
   Millis NextDelay(std::size_t aDaemons)
   {
-    const Millis most = std::max(
+    const Millis maxDelay = std::max(
       kInitialDelay, kMaxDelayPerDaemon * static_cast<std::int64_t>(aDaemons));
-    const Millis pause = std::min(this->nextDelay, most);
-    this->nextDelay = std::min(2 * this->nextDelay, most);
-    return pause;
+    const Millis delay = std::min(this->nextDelay, maxDelay);
+    this->nextDelay = std::min(2 * this->nextDelay, maxDelay);
+    return delay;
   }
   void Reset() { this->nextDelay = kInitialDelay; }
 
--- a/src/coord/RecentMax.h
+++ b/src/coord/RecentMax.h
@@ -1,5 +1,5 @@
 /** \file
- * The highest value of the last seconds.
+ * Tracks the highest value within a time window.
  */
 #pragma once
 
@@ -9,12 +9,15 @@
 
 namespace toucanshed {
 
-/** Thread safety: none; the owner serialises. */
+/** Maximum of the values added within a sliding window. The window advances
+ * only when a value is added.
+ *
+ * Thread safety: none; the owner serialises. */
 class RecentMax
 {
 public:
-  explicit RecentMax(Millis aOver)
-    : window(aOver)
+  explicit RecentMax(Millis aWindow)
+    : window(aWindow)
   {
   }
 
@@ -42,7 +45,7 @@
   };
 
   Millis window;
-  std::deque<Sample> values; // falling
+  std::deque<Sample> values; // strictly decreasing
 };
 
 } // namespace toucanshed
--- a/src/coord/StoreOutage.cpp
+++ b/src/coord/StoreOutage.cpp
@@ -5,38 +5,43 @@
 namespace toucanshed {
 
 void
-StoreOutage::RecordSuccess(TimePoint aAt)
+StoreOutage::RecordSuccess(TimePoint aCalledAt)
 {
-  if (this->lastSuccessAt && aAt <= *this->lastSuccessAt) {
+  if (this->lastSuccessAt && aCalledAt <= *this->lastSuccessAt) {
     return;
   }
-  if (this->lastSuccessAt && aAt - *this->lastSuccessAt >= this->minOutage) {
-    const bool failedHere =
+  if (this->lastSuccessAt &&
+      aCalledAt - *this->lastSuccessAt >= this->minOutage) {
+    const bool failedLocally =
       this->lastFailureAt && *this->lastFailureAt > *this->lastSuccessAt;
-    this->latestOutage = Outage{ *this->lastSuccessAt, aAt, failedHere };
+    this->latestOutage =
+      Outage{ *this->lastSuccessAt, aCalledAt, failedLocally };
   }
-  this->lastSuccessAt = aAt;
+  this->lastSuccessAt = aCalledAt;
 }
 
 void
-StoreOutage::RecordFailure(TimePoint aAt)
+StoreOutage::RecordFailure(TimePoint aCalledAt)
 {
-  this->lastFailureAt = std::max(this->lastFailureAt.value_or(aAt), aAt);
-  // A call that is given up for silence is known to have failed only after
-  // another daemon has told of the return.
-  const bool within = this->latestOutage && aAt > this->latestOutage->from &&
-                      aAt < this->latestOutage->to;
-  if (within) {
+  this->lastFailureAt =
+    std::max(this->lastFailureAt.value_or(aCalledAt), aCalledAt);
+  // A call that times out is known to have failed only after another daemon may
+  // have reported the end of the outage.
+  const bool duringOutage = this->latestOutage &&
+                            aCalledAt > this->latestOutage->from &&
+                            aCalledAt < this->latestOutage->to;
+  if (duringOutage) {
     this->latestOutage->failedLocally = true;
   }
 }
 
 std::optional<TimePoint>
-StoreOutage::GraceUntil(TimePoint aListed, TimePoint aNow) const
+StoreOutage::GraceUntil(TimePoint aListedAt, TimePoint aNow) const
 {
-  const bool lapsed = this->latestOutage && this->latestOutage->failedLocally &&
-                      aListed < this->latestOutage->to;
-  if (!lapsed) {
+  const bool mayHaveExpired = this->latestOutage &&
+                              this->latestOutage->failedLocally &&
+                              aListedAt < this->latestOutage->to;
+  if (!mayHaveExpired) {
     return std::nullopt;
   }
   const TimePoint until = this->latestOutage->to + kRelistGrace;
--- a/src/coord/StoreReaders.cpp
+++ b/src/coord/StoreReaders.cpp
@@ -6,23 +6,23 @@
 
 std::optional<std::size_t>
 ReaderRank(const DaemonId& aSelf,
-           bool aReaches,
+           bool aReachesStore,
            const std::vector<const serving::DaemonHeartbeat*>& aLive,
            const std::vector<DaemonId>& aStarting)
 {
-  if (!aReaches) {
+  if (!aReachesStore) {
     return std::nullopt;
   }
   const std::uint64_t own = Hash64(aSelf.value);
-  std::size_t before = 0;
-  for (const serving::DaemonHeartbeat* word : aLive) {
-    const bool reads = !word->stopping() && !word->store_lost();
-    before += reads && Hash64(word->id()) < own ? 1 : 0;
+  std::size_t preceding = 0;
+  for (const serving::DaemonHeartbeat* heartbeat : aLive) {
+    const bool mayRead = !heartbeat->stopping() && !heartbeat->store_lost();
+    preceding += mayRead && Hash64(heartbeat->id()) < own ? 1 : 0;
   }
   for (const DaemonId& id : aStarting) {
-    before += Hash64(id.value) < own ? 1 : 0;
+    preceding += Hash64(id.value) < own ? 1 : 0;
   }
-  return before;
+  return preceding;
 }
 
 } // namespace toucanshed
--- a/src/coord/SuspectTable.cpp
+++ b/src/coord/SuspectTable.cpp
@@ -8,11 +8,12 @@
 
 FactEntry
 SuspectTable::CrashFact(Fingerprint aFingerprint,
-                        const std::string& aEngineLife,
+                        const std::string& aEngineIncarnation,
                         TimePoint aNow)
 {
   return FactEntry{ std::string(kCrashPrefix) +
-                      std::to_string(aFingerprint.value) + "/" + aEngineLife,
+                      std::to_string(aFingerprint.value) + "/" +
+                      aEngineIncarnation,
                     aNow + kCrashRetention };
 }
 
@@ -40,21 +41,22 @@
 
 FactEntry
 SuspectTable::IsolationFact(Fingerprint aFingerprint,
-                            const std::string& aEngineLife,
+                            const std::string& aEngineIncarnation,
                             TimePoint aExpires)
 {
-  return FactEntry{
-    "alone/" + aEngineLife + "/" + std::to_string(aFingerprint.value), aExpires
-  };
+  return FactEntry{ "alone/" + aEngineIncarnation + "/" +
+                      std::to_string(aFingerprint.value),
+                    aExpires };
 }
 
 bool
 SuspectTable::HasIsolationPriority(const FactSet& aFacts,
                                    Fingerprint aFingerprint,
-                                   const std::string& aEngineLife)
+                                   const std::string& aEngineIncarnation)
 {
-  const std::string own = IsolationFact(aFingerprint, aEngineLife, {}).key;
-  const auto all = aFacts.WithPrefix("alone/" + aEngineLife + "/");
+  const std::string own =
+    IsolationFact(aFingerprint, aEngineIncarnation, {}).key;
+  const auto all = aFacts.WithPrefix("alone/" + aEngineIncarnation + "/");
   return all.empty() || own <= all.front().key;
 }
 
--- a/src/coord/TopicFreshness.h
+++ b/src/coord/TopicFreshness.h
@@ -1,5 +1,5 @@
 /** \file
- * How current a daemon's copy of one of the store's topics is.
+ * Tracks how current a daemon's copy of one of the store's topics is.
  */
 #pragma once
 
@@ -11,16 +11,16 @@
 namespace toucanshed {
 
 /**
- * A copy is current by the daemon's own reads, or because a daemon that has
- * just read the topic says that it holds just what is here. A daemon reads
- * itself only when neither has been so for a while.
+ * A copy is current because this daemon has read the topic, or because another
+ * daemon that has just read it reports the same contents. A daemon reads the
+ * topic itself only when neither has happened for a while.
  *
  * Thread safety: none; the owner serialises.
  */
 class TopicFreshness
 {
 public:
-  /** The topic was read. \param aAsOf when the call was made. */
+  /** This daemon has read the topic. \param aAsOf time of the call */
   void RecordLocalRead(TimePoint aAsOf)
   {
     this->Extend(aAsOf);
@@ -28,12 +28,12 @@
       this->contradictedAt.reset();
     }
   }
-  /** Another daemon has read it.
+  /** Another daemon has read the topic.
    * \param aAsOf when, by this daemon's clock
-   * \param aSame whether it found what is here */
-  void RecordPeerRead(TimePoint aAsOf, bool aSame)
+   * \param aMatches whether its contents are the same as those here */
+  void RecordPeerRead(TimePoint aAsOf, bool aMatches)
   {
-    if (aSame) {
+    if (aMatches) {
       this->Extend(aAsOf);
       return;
     }
@@ -43,19 +43,21 @@
         std::max(this->contradictedAt.value_or(aAsOf), aAsOf);
     }
   }
-  /** Whether it must be read here.
-   * \param aMost how old a copy may become */
-  [[nodiscard]] bool NeedsRead(TimePoint aNow, Millis aMost) const
+  /** Whether this daemon must read the topic.
+   * \param aMaxAge how old a copy may become */
+  [[nodiscard]] bool NeedsRead(TimePoint aNow, Millis aMaxAge) const
   {
-    return this->IsBehind() || !this->asOf || aNow - *this->asOf >= aMost;
+    return this->IsBehind() || !this->asOf || aNow - *this->asOf >= aMaxAge;
   }
 
-  /** Somebody who has read it since holds something else than is here. */
+  /** Whether another daemon has read other contents since the last read here.
+   */
   [[nodiscard]] bool IsBehind() const
   {
     return this->contradictedAt.has_value();
   }
-  /** As of when the copy here is known to be current; nothing if never. */
+  /** Time up to which the copy here is known to be current; nothing if never.
+   */
   [[nodiscard]] std::optional<TimePoint> AsOf() const { return this->asOf; }
 
 private:
@@ -68,7 +70,8 @@
   }
 
   std::optional<TimePoint> asOf;
-  /** As of when another daemon found something else than was here. */
+  /** Time of the latest read by another daemon that found other contents than
+   * here. */
   std::optional<TimePoint> contradictedAt;
 };
 
