--- a/test/correctness/BackendTableTest.cpp
+++ b/test/correctness/BackendTableTest.cpp
@@ -10,7 +10,7 @@
 const TimePoint kNow{ 100000 };
 
 BackendEntry
-Entry(const std::string& aId, std::int64_t aBorn = 1)
+Entry(const std::string& aId, std::int64_t aIncarnation = 1)
 {
   BackendEntry entry;
   entry.id = InstanceId{ aId };
@@ -18,7 +18,7 @@
   entry.address = "127.0.0.1:1";
   entry.zone = ZoneId{ "a" };
   entry.slots = 8;
-  entry.incarnation = aBorn;
+  entry.incarnation = aIncarnation;
   return entry;
 }
 
@@ -33,14 +33,13 @@
 
 TEST_CASE("a stalled engine gets no new requests")
 {
-  // An engine goes dark with its connections open: what was sent there hangs
-  // until its time is over. Without this every new request that finds it "less
-  // loaded" hangs as well.
+  // An engine stops responding with its connections open, so requests sent to
+  // it hang until they time out. Without the check, new requests go to it
+  // because it is less loaded, and hang too.
   BackendTable table;
   table.Put(Entry("e1"));
   table.Put(Entry("e2"));
-  table.Find(InstanceId{ "e2" })->localLoad.running =
-    6; // e1 is the less loaded
+  table.Find(InstanceId{ "e2" })->localLoad.running = 6; // e1 is less loaded
   table.Find(InstanceId{ "e2" })->lastProgressAt =
     kNow + Backend::kStallTimeout;
   table.Find(InstanceId{ "e1" })->localLoad.running = 1;
@@ -86,9 +85,9 @@
 
 TEST_CASE("a new incarnation resets a back end's state")
 {
-  // An engine crashes and starts again under its id. It is neither leaving nor
-  // slow any more; requests sent to the life before are still counted until
-  // they end here.
+  // An engine crashes and restarts under its id. It is neither leaving nor slow
+  // any more; requests sent to the previous incarnation are counted until they
+  // end here.
   BackendTable table;
   table.Put(Entry("e1", 1));
   table.MarkLeaving(InstanceId{ "e1" });
--- a/test/correctness/DeferralPolicyTest.cpp
+++ b/test/correctness/DeferralPolicyTest.cpp
@@ -8,57 +8,59 @@
 namespace toucanshed::test {
 namespace {
 
-/** A prompt that an engine is to read, and when its caller came. */
+/** A prompt that waits for prefill, and its arrival time. */
 struct PendingPrompt
 {
   TimePoint arrived;
   double prefillMs = 0;
 };
 
-/** One engine that reads prompts one after the other, first come first served,
- * and daemons before it that know how much it has to read. */
+/** One engine that prefills prompts in the order in which they are sent, with
+ * daemons that know its backlog. */
 class SingleEngineSimulation
 {
 public:
   static constexpr Millis kTarget{ 600 };
   static constexpr Millis kDeadline{ 10000 };
 
-  explicit SingleEngineSimulation(bool aStandBack)
-    : deferLate(aStandBack)
+  explicit SingleEngineSimulation(bool aDeferLate)
+    : deferLate(aDeferLate)
   {
   }
 
-  /** Plays arrivals every aEvery.
-   * \return the part of them whose answers began on time. */
-  double Run(Millis aFor, Millis aEvery, double aReadingMs)
+  /** Simulates arrivals every aInterval for aDuration.
+   * \param aPrefillMs prefill time of each prompt
+   * \return the fraction of requests whose responses began on time */
+  double Run(Millis aDuration, Millis aInterval, double aPrefillMs)
   {
-    const TimePoint end = this->now + aFor;
-    std::size_t asked = 0;
+    const TimePoint end = this->now + aDuration;
+    std::size_t requestCount = 0;
     this->onTime = 0;
-    TimePoint next = this->now;
+    TimePoint nextArrival = this->now;
     while (this->now < end) {
-      if (next <= this->now) {
-        this->waiting.push_back(PendingPrompt{ this->now, aReadingMs });
-        next = next + aEvery;
-        ++asked;
+      if (nextArrival <= this->now) {
+        this->waiting.push_back(PendingPrompt{ this->now, aPrefillMs });
+        nextArrival = nextArrival + aInterval;
+        ++requestCount;
       }
       this->SendAllowed();
       this->now = this->now + Millis(1);
       this->backlogMs = std::max(0.0, this->backlogMs - 1);
     }
-    return static_cast<double>(this->onTime) / static_cast<double>(asked);
+    return static_cast<double>(this->onTime) /
+           static_cast<double>(requestCount);
   }
 
 private:
   void SendAllowed()
   {
-    // The newest first, as each coroutine asks by itself and those that have
-    // just come ask at once.
-    std::vector<PendingPrompt> stay;
+    // The latest request is decided first, because each coroutine polls by
+    // itself and new requests are decided on arrival.
+    std::vector<PendingPrompt> stillWaiting;
     for (auto it = this->waiting.rbegin(); it != this->waiting.rend(); ++it) {
       const double expected = this->backlogMs + it->prefillMs;
       const Millis waited = this->now - it->arrived;
-      const DeferralDecision advice =
+      const DeferralDecision decision =
         this->deferLate
           ? DeferralPolicy::Decide(DeferralInput{ waited,
                                                   kTarget,
@@ -67,18 +69,18 @@
                                                   it->prefillMs,
                                                   this->backlogMs <= 0 })
           : DeferralDecision::eSend;
-      if (advice == DeferralDecision::eDefer) {
-        stay.push_back(*it);
+      if (decision == DeferralDecision::eDefer) {
+        stillWaiting.push_back(*it);
       }
-      if (advice == DeferralDecision::eSend) {
+      if (decision == DeferralDecision::eSend) {
         this->backlogMs = expected;
-        const double begins = static_cast<double>(waited.count()) + expected;
+        const double startMs = static_cast<double>(waited.count()) + expected;
         const auto target = static_cast<double>(kTarget.count());
-        this->onTime += begins <= target ? 1 : 0;
+        this->onTime += startMs <= target ? 1 : 0;
       }
     }
-    std::reverse(stay.begin(), stay.end());
-    this->waiting = std::move(stay);
+    std::reverse(stillWaiting.begin(), stillWaiting.end());
+    this->waiting = std::move(stillWaiting);
   }
 
   bool deferLate;
@@ -92,71 +94,73 @@
 
 TEST_CASE("deferral keeps most responses on time in a shortage")
 {
-  // The engine that is left can read half of the prompts that come, for five
-  // seconds. Sent on as they come they all wait behind each other, and after
-  // the first second none begins on time. What would begin late stands back, so
-  // the engine's time goes to what can still be on time.
+  // For five seconds the only engine can prefill half of the arriving prompts.
+  // If they are sent on arrival, all queue behind each other, and after the
+  // first second none begins on time. Deferring requests that would begin late
+  // leaves the engine's time to those that can still be on time.
   constexpr Millis kShortage{ 5000 };
-  constexpr Millis kEvery{ 50 };
-  constexpr double kReading = 100;
-  constexpr double kBearable = 0.5;
+  constexpr Millis kInterval{ 50 };
+  constexpr double kPrefillMs = 100;
+  constexpr double kCapacityShare = 0.5;
   SingleEngineSimulation sendsAll(false);
-  CHECK(sendsAll.Run(kShortage, kEvery, kReading) < kBearable / 2);
-  SingleEngineSimulation standsBack(true);
-  CHECK(standsBack.Run(kShortage, kEvery, kReading) >= 0.8 * kBearable);
+  CHECK(sendsAll.Run(kShortage, kInterval, kPrefillMs) < kCapacityShare / 2);
+  SingleEngineSimulation defersLate(true);
+  CHECK(defersLate.Run(kShortage, kInterval, kPrefillMs) >=
+        0.8 * kCapacityShare);
 }
 
 TEST_CASE("nothing is deferred while engines keep up")
 {
-  constexpr double kReading = 100;
+  constexpr double kPrefillMs = 100;
   SingleEngineSimulation engine(true);
-  CHECK(engine.Run(Millis(20000), Millis(125), kReading) == 1);
+  CHECK(engine.Run(Millis(20000), Millis(125), kPrefillMs) == 1);
 }
 
 TEST_CASE("a late request is sent to a nearly idle engine")
 {
-  DeferralInput chance{
+  DeferralInput input{
     Millis(800), Millis(600), Millis(9000), 700, 200, false
   };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eDefer);
-  chance.expectedMs = 200;
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eSend);
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eDefer);
+  input.expectedMs = 200;
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eSend);
 }
 
 TEST_CASE("a late request is rejected in time to retry")
 {
-  DeferralInput chance{
+  DeferralInput input{
     Millis(899), Millis(600), Millis(9000), 700, 200, false
   };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eDefer);
-  chance.waited = Millis(900);
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eReject);
-  chance =
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eDefer);
+  input.waited = Millis(900);
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eReject);
+  input =
     DeferralInput{ Millis(500), Millis(600), Millis(400), 700, 200, false };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eReject);
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eReject);
 }
 
 TEST_CASE("an idle engine gets requests even if it was slow")
 {
-  // A service's only engine was slow for a while and is idle now. Its answers
-  // are expected late, and only another answer can show that they are not.
-  const DeferralInput chance{ Millis(0), Millis(600), Millis(9000),
-                              4000,      200,         true };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eSend);
+  // A service's only engine was slow for a while and is idle now. Its responses
+  // are expected late, and only another response can show that they are not.
+  const DeferralInput input{ Millis(0), Millis(600), Millis(9000),
+                             4000,      200,         true };
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eSend);
 }
 
 TEST_CASE("a short prompt is not deferred")
 {
-  const DeferralInput chance{ Millis(0), Millis(300), Millis(9000),
-                              450,       10,          false };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eSend);
+  const DeferralInput input{ Millis(0), Millis(300), Millis(9000),
+                             450,       10,          false };
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eSend);
 }
 
 TEST_CASE("a request without a latency target is not deferred")
 {
-  const DeferralInput chance{ Millis(0), Millis(0), Millis(900),
-                              5000,      200,       false };
-  CHECK(DeferralPolicy::Decide(chance) == DeferralDecision::eSend);
+  const DeferralInput input{
+    Millis(0), Millis(0), Millis(900), 5000, 200, false
+  };
+  CHECK(DeferralPolicy::Decide(input) == DeferralDecision::eSend);
 }
 
 } // namespace toucanshed::test
--- a/test/correctness/EngineLimitsTest.cpp
+++ b/test/correctness/EngineLimitsTest.cpp
@@ -7,140 +7,145 @@
 namespace {
 
 constexpr std::size_t kFewDaemons = 6;
-constexpr std::size_t kMany = 83;
+constexpr std::size_t kManyDaemons = 83;
 constexpr std::size_t kMaxDaemons = 330;
-constexpr Millis kWarmUp{ 14000 }; // hundreds have heard each other
+constexpr Millis kWarmUp{ 14000 }; // many daemons have exchanged heartbeats
 constexpr Millis kRunTime{ 12000 };
 
-/** Requests a second that would pass the limits many times over, of which each
- * daemon gets a few. */
+/** Requests per second, far above the limits, of which each daemon gets a few.
+ */
 double
 LoadOf(std::size_t aDaemons)
 {
   constexpr double kPerDaemon = 5;
-  constexpr double kLeast = 120;
-  return std::max(kLeast, kPerDaemon * static_cast<double>(aDaemons));
+  constexpr double kMinLoad = 120;
+  return std::max(kMinLoad, kPerDaemon * static_cast<double>(aDaemons));
 }
 
 } // namespace
 
-// Each daemon keeps to the limit alone, and together they pass it.
+// Guards against each daemon applying the whole limit, so that together they
+// exceed it.
 TEST_CASE("daemons together respect engines' rate limits")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany, kMaxDaemons);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons, kMaxDaemons);
   const double perS = GENERATE(0.4, 1.0, 2.7, 12.0);
   constexpr std::size_t kEngines = 5;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(daemons));
-  world.SetLimit(0, perS);
-  world.SetLimit(1, perS);
-  world.SetLimit(2, perS);
-  world.Run(Millis(6000), LoadOf(daemons));
-  world.TakeArrivals(0);
-  world.Run(kRunTime, LoadOf(daemons));
-  CHECK(world.MaxUsage() <= 1.0);
-  const double owed = perS * static_cast<double>(kRunTime.count()) / 1000;
-  const auto got = static_cast<double>(world.TakeArrivals(0));
-  CHECK(got <= owed + EngineLimits::kExtraShares + perS);
-  CHECK(got >= 0.5 * owed); // it is used
+  LimitSimulation simulation(daemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(daemons));
+  simulation.SetLimit(0, perS);
+  simulation.SetLimit(1, perS);
+  simulation.SetLimit(2, perS);
+  simulation.Run(Millis(6000), LoadOf(daemons));
+  simulation.TakeArrivals(0);
+  simulation.Run(kRunTime, LoadOf(daemons));
+  CHECK(simulation.MaxUsage() <= 1.0);
+  const double expected = perS * static_cast<double>(kRunTime.count()) / 1000;
+  const auto received = static_cast<double>(simulation.TakeArrivals(0));
+  CHECK(received <= expected + EngineLimits::kExtraShares + perS);
+  CHECK(received >= 0.5 * expected); // the limit is used
 }
 
-// Words of the limit are lost or late, so daemons hear of it by themselves.
+// Reports of the limit are lost or late, so daemons receive it at different
+// times.
 TEST_CASE("rate limits hold with lost and delayed heartbeats")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany, kMaxDaemons);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons, kMaxDaemons);
   constexpr std::size_t kEngines = 4;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{ 0.3, Millis(300) });
-  world.Run(kWarmUp, LoadOf(daemons));
+  LimitSimulation simulation(
+    daemons, kEngines, LimitNetwork{ 0.3, Millis(300) });
+  simulation.Run(kWarmUp, LoadOf(daemons));
   for (std::size_t engine = 0; engine < kEngines; ++engine) {
-    world.SetLimit(engine, 1.5);
+    simulation.SetLimit(engine, 1.5);
   }
-  world.Run(kRunTime, LoadOf(daemons));
-  CHECK(world.MaxUsage() <= 1.0);
+  simulation.Run(kRunTime, LoadOf(daemons));
+  CHECK(simulation.MaxUsage() <= 1.0);
 }
 
 TEST_CASE("a changing rate limit is respected")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany, kMaxDaemons);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons, kMaxDaemons);
   constexpr std::size_t kEngines = 2;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(daemons));
+  LimitSimulation simulation(daemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(daemons));
   for (const double perS : { 6.0, 1.0, 4.0, 0.5, 8.0 }) {
-    world.SetLimit(0, perS);
-    world.Run(Millis(8000), LoadOf(daemons));
+    simulation.SetLimit(0, perS);
+    simulation.Run(Millis(8000), LoadOf(daemons));
   }
-  CHECK(world.MaxUsage() <= 1.0);
+  CHECK(simulation.MaxUsage() <= 1.0);
 }
 
-// Daemons that know nothing yet send an engine in need the whole load.
+// Daemons that know no limit yet would send a rate-limited engine the whole
+// load.
 TEST_CASE("rate limits hold after all daemons restart")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany, kMaxDaemons);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons, kMaxDaemons);
   constexpr std::size_t kEngines = 3;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(daemons));
-  world.SetLimit(0, 1.0);
-  world.Run(Millis(6000), LoadOf(daemons));
-  world.RestartAll(Millis(1500));
-  world.Run(kRunTime, LoadOf(daemons));
-  CHECK(world.MaxUsage() <= 1.0);
+  LimitSimulation simulation(daemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(daemons));
+  simulation.SetLimit(0, 1.0);
+  simulation.Run(Millis(6000), LoadOf(daemons));
+  simulation.RestartAll(Millis(1500));
+  simulation.Run(kRunTime, LoadOf(daemons));
+  CHECK(simulation.MaxUsage() <= 1.0);
 }
 
-// A daemon wakes and goes on with a part that others have taken over.
+// Guards against a daemon that resumes with a share that was reassigned.
 TEST_CASE("rate limits hold when a daemon freezes and resumes")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons);
   constexpr std::size_t kEngines = 3;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(daemons));
-  world.SetLimit(0, 1.0);
+  LimitSimulation simulation(daemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(daemons));
+  simulation.SetLimit(0, 1.0);
   for (std::size_t daemon = 0; daemon < kFewDaemons; ++daemon) {
-    world.Freeze(daemon, Millis(1000 + 1500 * daemon));
-    world.Run(Millis(5000), LoadOf(daemons));
+    simulation.Freeze(daemon, Millis(1000 + 1500 * daemon));
+    simulation.Run(Millis(5000), LoadOf(daemons));
   }
-  CHECK(world.MaxUsage() <= 1.0);
+  CHECK(simulation.MaxUsage() <= 1.0);
 }
 
-// Both sides of a cut take all parts for theirs.
+// Guards against both sides of a partition using all shares.
 TEST_CASE("rate limits hold during a network partition")
 {
-  const std::size_t daemons = GENERATE(kFewDaemons, kMany, kMaxDaemons);
+  const std::size_t daemons = GENERATE(kFewDaemons, kManyDaemons, kMaxDaemons);
   constexpr std::size_t kEngines = 3;
   constexpr std::size_t kDomains = 3;
-  LimitSimulation world(daemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(daemons));
-  world.SetLimit(0, 1.0);
+  LimitSimulation simulation(daemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(daemons));
+  simulation.SetLimit(0, 1.0);
   std::set<std::size_t> domain;
   for (std::size_t daemon = 0; daemon < daemons; daemon += kDomains) {
     domain.insert(daemon);
   }
-  world.Run(Millis(5000), LoadOf(daemons));
-  world.Partition(domain);
-  constexpr Millis kCut{ 30000 };
-  world.TakeArrivals(0);
-  world.Run(kCut, LoadOf(daemons));
-  const auto got = static_cast<double>(world.TakeArrivals(0));
-  CHECK(got <= 1.0 * static_cast<double>(kCut.count()) / 1000 + 4);
-  world.Partition({});
-  world.Run(kRunTime, LoadOf(daemons));
-  CHECK(world.MaxUsage() <= 1.0);
+  simulation.Run(Millis(5000), LoadOf(daemons));
+  simulation.Partition(domain);
+  constexpr Millis kPartitionTime{ 30000 };
+  simulation.TakeArrivals(0);
+  simulation.Run(kPartitionTime, LoadOf(daemons));
+  const auto received = static_cast<double>(simulation.TakeArrivals(0));
+  CHECK(received <=
+        1.0 * static_cast<double>(kPartitionTime.count()) / 1000 + 4);
+  simulation.Partition({});
+  simulation.Run(kRunTime, LoadOf(daemons));
+  CHECK(simulation.MaxUsage() <= 1.0);
 }
 
-// A word that was long on its way, or a daemon that missed the end, limits an
-// engine for all that has recovered.
+// Guards against a delayed report, or one of a daemon that missed the end of
+// the limit, limiting a recovered engine for all.
 TEST_CASE("an older update does not restore an ended limit")
 {
-  const TimePoint named{ 50000 };
-  const TimePoint ended = named + Millis(3000);
+  const TimePoint reportedAt{ 50000 };
+  const TimePoint endedAt = reportedAt + Millis(3000);
   const InstanceId engine{ "e1" };
-  const LimitShares sharers(DaemonId{ "d1" }, TimePoint{ 0 });
-  EngineLimits limits(sharers);
-  limits.RecordResponse(engine, 1, RequestRate{ 1 }, named);
-  limits.RecordResponse(engine, 1, std::nullopt, ended);
-  const TimePoint later = ended + EngineLimits::kRecoveryTime + Millis(2000);
+  const LimitShares shares(DaemonId{ "d1" }, TimePoint{ 0 });
+  EngineLimits limits(shares);
+  limits.RecordResponse(engine, 1, RequestRate{ 1 }, reportedAt);
+  limits.RecordResponse(engine, 1, std::nullopt, endedAt);
+  const TimePoint later = endedAt + EngineLimits::kRecoveryTime + Millis(2000);
   limits.Expire(later);
-  limits.ReceiveUpdate(LimitUpdate{ engine, 1, RequestRate{ 1 }, false, named },
-                       later);
+  limits.ReceiveUpdate(
+    LimitUpdate{ engine, 1, RequestRate{ 1 }, false, reportedAt }, later);
   CHECK(limits.Check(engine, later) == LimitDecision::eUnlimited);
   limits.ReceiveUpdate(LimitUpdate{ engine, 1, RequestRate{ 1 }, false, later },
                        later);
@@ -150,19 +155,19 @@
 TEST_CASE("traffic grows in steps after a rate limit ends")
 {
   constexpr std::size_t kEngines = 2;
-  LimitSimulation world(kFewDaemons, kEngines, LimitNetwork{});
-  world.Run(kWarmUp, LoadOf(kFewDaemons));
-  world.SetLimit(0, 1.0);
-  world.Run(Millis(8000), LoadOf(kFewDaemons));
-  REQUIRE(world.DaemonsWithLimit(0) == kFewDaemons);
-  world.SetLimit(0, std::nullopt);
-  world.TakeArrivals(0);
-  world.Run(Millis(4000), LoadOf(kFewDaemons));
-  const std::size_t first = world.TakeArrivals(0);
-  world.Run(Millis(8000), LoadOf(kFewDaemons));
-  CHECK(world.DaemonsWithLimit(0) == 0);
-  CHECK(first < 30);
-  CHECK(world.TakeArrivals(0) > 100);
+  LimitSimulation simulation(kFewDaemons, kEngines, LimitNetwork{});
+  simulation.Run(kWarmUp, LoadOf(kFewDaemons));
+  simulation.SetLimit(0, 1.0);
+  simulation.Run(Millis(8000), LoadOf(kFewDaemons));
+  REQUIRE(simulation.DaemonsWithLimit(0) == kFewDaemons);
+  simulation.SetLimit(0, std::nullopt);
+  simulation.TakeArrivals(0);
+  simulation.Run(Millis(4000), LoadOf(kFewDaemons));
+  const std::size_t recovering = simulation.TakeArrivals(0);
+  simulation.Run(Millis(8000), LoadOf(kFewDaemons));
+  CHECK(simulation.DaemonsWithLimit(0) == 0);
+  CHECK(recovering < 30);
+  CHECK(simulation.TakeArrivals(0) > 100);
 }
 
 } // namespace toucanshed::test
--- a/test/correctness/LeavingIncarnationsTest.cpp
+++ b/test/correctness/LeavingIncarnationsTest.cpp
@@ -6,15 +6,16 @@
 
 TEST_CASE("a stale leaving mark spares the next incarnation")
 {
-  // The list calls engine-1 leaving; its process ends and a new one starts at
-  // the name while the list still says so. Only the first is leaving.
-  LeavingIncarnations listed;
+  // The list marks engine-1 as leaving. Its process ends, and a new one starts
+  // under the name while the mark is still set. Only the first process is
+  // leaving.
+  LeavingIncarnations leaving;
   const InstanceId id{ "engine-1" };
-  CHECK_FALSE(listed.IsLeaving(id, "engine-1/7", false));
-  CHECK(listed.IsLeaving(id, "engine-1/7", true));
-  CHECK_FALSE(listed.IsLeaving(id, "engine-1/8", true));
-  CHECK_FALSE(listed.IsLeaving(id, "engine-1/8", false));
-  CHECK(listed.IsLeaving(id, "engine-1/8", true));
+  CHECK_FALSE(leaving.IsLeaving(id, "engine-1/7", false));
+  CHECK(leaving.IsLeaving(id, "engine-1/7", true));
+  CHECK_FALSE(leaving.IsLeaving(id, "engine-1/8", true));
+  CHECK_FALSE(leaving.IsLeaving(id, "engine-1/8", false));
+  CHECK(leaving.IsLeaving(id, "engine-1/8", true));
 }
 
 } // namespace toucanshed::test
--- a/test/correctness/LimitSharesTest.cpp
+++ b/test/correctness/LimitSharesTest.cpp
@@ -18,76 +18,76 @@
   return DaemonId{ "daemon-" + std::to_string(aDaemon) };
 }
 
-/** One daemon's view right after it has read the store's list. */
+/** One daemon's state right after it has read the store's list. */
 LimitShares
 MakeShares(std::size_t aDaemon)
 {
-  LimitShares view(IdOf(aDaemon), kStart);
-  view.SetPeerTimeout(kPeerTimeout);
+  LimitShares shares(IdOf(aDaemon), kStart);
+  shares.SetPeerTimeout(kPeerTimeout);
   for (std::size_t i = 0; i < kDaemons; ++i) {
-    view.AddPeer(IdOf(i), kStart);
+    shares.AddPeer(IdOf(i), kStart);
   }
-  view.MarkListRead();
-  return view;
+  shares.MarkListRead();
+  return shares;
 }
 
-/** The first aHeard of the others have just spoken. */
+/** The first aCount of the other daemons have just sent a heartbeat. */
 void
-ReceiveFromPeers(LimitShares& aView, std::size_t aHeard, TimePoint aNow)
+ReceiveFromPeers(LimitShares& aShares, std::size_t aCount, TimePoint aNow)
 {
-  for (std::size_t i = 1; i <= aHeard; ++i) {
-    aView.RecordHeartbeat(IdOf(i), aNow);
+  for (std::size_t i = 1; i <= aCount; ++i) {
+    aShares.RecordHeartbeat(IdOf(i), aNow);
   }
 }
 
 } // namespace
 
-// Others still use what a daemon that has just come takes for its own.
+// Other daemons still use the shares that a new daemon computes as its own.
 TEST_CASE("a new daemon uses no share until others know it")
 {
-  LimitShares view = MakeShares(0);
+  LimitShares shares = MakeShares(0);
   const TimePoint soon = kStart + Millis(200);
-  ReceiveFromPeers(view, kDaemons - 1, soon);
-  CHECK_FALSE(view.CanUseShares(soon));
-  CHECK(view.CanUseShares(kStart + kPeerTimeout));
+  ReceiveFromPeers(shares, kDaemons - 1, soon);
+  CHECK_FALSE(shares.CanUseShares(soon));
+  CHECK(shares.CanUseShares(kStart + kPeerTimeout));
 }
 
-// Both sides of a cut use the same parts.
+// Guards against both sides of a partition using the same shares.
 TEST_CASE("a daemon in a minority partition uses no share")
 {
-  LimitShares view = MakeShares(0);
+  LimitShares shares = MakeShares(0);
   const TimePoint later = kStart + Millis(20000);
-  ReceiveFromPeers(view, 2, later);
-  CHECK_FALSE(view.CanUseShares(later));
-  ReceiveFromPeers(view, 3, later);
-  CHECK(view.CanUseShares(later));
+  ReceiveFromPeers(shares, 2, later);
+  CHECK_FALSE(shares.CanUseShares(later));
+  ReceiveFromPeers(shares, 3, later);
+  CHECK(shares.CanUseShares(later));
 }
 
-// A daemon that cannot be heard goes on with a part that another took over.
+// Guards against an unreachable daemon using a share that was reassigned.
 TEST_CASE("a share is reassigned only after its owner stops")
 {
-  LimitShares view = MakeShares(0);
-  LimitShares silent = MakeShares(kDaemons - 1);
+  LimitShares shares = MakeShares(0);
+  LimitShares unreachable = MakeShares(kDaemons - 1);
   const TimePoint last = kStart + Millis(5000);
-  ReceiveFromPeers(view, kDaemons - 1, last);
-  ReceiveFromPeers(silent, kDaemons - 2, last);
-  const TimePoint ceased = last + kPeerTimeout + Millis(1);
-  CHECK_FALSE(silent.CanUseShares(ceased));
-  CHECK(view.SharingDaemons(ceased) == kDaemons);
-  const TimePoint taken =
+  ReceiveFromPeers(shares, kDaemons - 1, last);
+  ReceiveFromPeers(unreachable, kDaemons - 2, last);
+  const TimePoint stoppedAt = last + kPeerTimeout + Millis(1);
+  CHECK_FALSE(unreachable.CanUseShares(stoppedAt));
+  CHECK(shares.SharingDaemons(stoppedAt) == kDaemons);
+  const TimePoint reassignedAt =
     last + LimitShares::kTimeoutsBeforeReassignment * kPeerTimeout + Millis(1);
-  ReceiveFromPeers(view, kDaemons - 2, taken);
-  CHECK(view.SharingDaemons(taken) == kDaemons - 1);
+  ReceiveFromPeers(shares, kDaemons - 2, reassignedAt);
+  CHECK(shares.SharingDaemons(reassignedAt) == kDaemons - 1);
 }
 
 TEST_CASE("as many daemons get a share as there are shares")
 {
-  for (std::size_t parts = 1; parts <= kDaemons; ++parts) {
-    std::size_t having = 0;
+  for (std::size_t shareCount = 1; shareCount <= kDaemons; ++shareCount) {
+    std::size_t holderCount = 0;
     for (std::size_t i = 0; i < kDaemons; ++i) {
-      having += MakeShares(i).HasShare(42, parts, kStart) ? 1 : 0;
+      holderCount += MakeShares(i).HasShare(42, shareCount, kStart) ? 1 : 0;
     }
-    CHECK(having == parts);
+    CHECK(holderCount == shareCount);
   }
 }
 
--- a/test/correctness/ReadBackoffTest.cpp
+++ b/test/correctness/ReadBackoffTest.cpp
@@ -6,24 +6,24 @@
 
 TEST_CASE("failed reads back off exponentially")
 {
-  constexpr std::size_t kMany = 295;
-  constexpr Millis kLongest{ 3245 };
-  ReadBackoff retry;
-  CHECK(retry.NextDelay(kMany) == Millis(200));
-  CHECK(retry.NextDelay(kMany) == Millis(400));
+  constexpr std::size_t kManyDaemons = 295;
+  constexpr Millis kMaxDelay{ 3245 };
+  ReadBackoff backoff;
+  CHECK(backoff.NextDelay(kManyDaemons) == Millis(200));
+  CHECK(backoff.NextDelay(kManyDaemons) == Millis(400));
   for (int i = 0; i < 10; ++i) {
-    retry.NextDelay(kMany);
+    backoff.NextDelay(kManyDaemons);
   }
-  CHECK(retry.NextDelay(kMany) == kLongest);
-  retry.Reset();
-  CHECK(retry.NextDelay(kMany) == Millis(200));
+  CHECK(backoff.NextDelay(kManyDaemons) == kMaxDelay);
+  backoff.Reset();
+  CHECK(backoff.NextDelay(kManyDaemons) == Millis(200));
 }
 
 TEST_CASE("with few daemons the backoff stays at its minimum")
 {
-  ReadBackoff retry;
+  ReadBackoff backoff;
   for (int i = 0; i < 10; ++i) {
-    CHECK(retry.NextDelay(6) == Millis(200));
+    CHECK(backoff.NextDelay(6) == Millis(200));
   }
 }
 
--- a/test/correctness/StoreOutageTest.cpp
+++ b/test/correctness/StoreOutageTest.cpp
@@ -5,15 +5,16 @@
 namespace toucanshed::test {
 namespace {
 
-constexpr Millis kRenewal{ 1200 };
-constexpr TimePoint kLastSuccess{ 10000 };  // the last answer before
-constexpr TimePoint kFirstSuccess{ 15000 }; // the first call answered after
+constexpr Millis kRenewalInterval{ 1200 };
+constexpr TimePoint kLastSuccess{ 10000 };  // last success before the outage
+constexpr TimePoint kFirstSuccess{ 15000 }; // first success after it
 
-/** A daemon whose calls fail from kAway to kReturn. */
+/** State of a daemon whose calls fail between kLastSuccess and kFirstSuccess.
+ */
 StoreOutage
 AfterFailedCalls()
 {
-  StoreOutage outage(kRenewal);
+  StoreOutage outage(kRenewalInterval);
   outage.RecordSuccess(kLastSuccess);
   outage.RecordFailure(kLastSuccess + Millis(700));
   outage.RecordFailure(kFirstSuccess - Millis(200));
@@ -32,7 +33,8 @@
   CHECK_FALSE(outage.GraceUntil(kLastSuccess, *until).has_value());
 }
 
-// Two domains' engines leave while others' entries are awaited.
+// The engines of two failure domains leave while others' entries are still
+// missing.
 TEST_CASE("an entry seen after an outage did not lapse in it")
 {
   StoreOutage outage = AfterFailedCalls();
@@ -42,34 +44,33 @@
     outage.GraceUntil(kFirstSuccess, kFirstSuccess + Millis(710)).has_value());
 }
 
-// The store turns some daemons away; the words of the others show that it is
-// up.
+// The store rejects some daemons; the reports of the others show that it is up.
 TEST_CASE("one daemon's failed calls are not an outage")
 {
   StoreOutage outage = AfterFailedCalls();
   for (Millis after{ 700 }; kLastSuccess + after < kFirstSuccess;
        after += Millis(700)) {
-    outage.RecordSuccess(kLastSuccess + after); // by a daemon that is served
+    outage.RecordSuccess(kLastSuccess + after); // by another daemon
   }
   outage.RecordSuccess(kFirstSuccess);
   CHECK_FALSE(
     outage.GraceUntil(kLastSuccess, kFirstSuccess + Millis(5)).has_value());
 }
 
-// The readers are turned away, so for a while nobody tells of a read.
+// The store rejects the readers, so for a while no daemon reports a read.
 TEST_CASE("a gap without failed calls is not an outage")
 {
-  StoreOutage outage(kRenewal);
+  StoreOutage outage(kRenewalInterval);
   outage.RecordSuccess(kLastSuccess);
   outage.RecordSuccess(kFirstSuccess);
   CHECK_FALSE(
     outage.GraceUntil(kLastSuccess, kFirstSuccess + Millis(5)).has_value());
 }
 
-// One call is lost, or refused for the rate of calls.
+// One call is lost, or rejected by the store's rate limit.
 TEST_CASE("a single failed call is not an outage")
 {
-  StoreOutage outage(kRenewal);
+  StoreOutage outage(kRenewalInterval);
   outage.RecordSuccess(kLastSuccess);
   outage.RecordFailure(kLastSuccess + Millis(700));
   outage.RecordSuccess(kLastSuccess + Millis(900));
@@ -79,9 +80,9 @@
 
 TEST_CASE("a call that times out after recovery still counts")
 {
-  StoreOutage outage(kRenewal);
+  StoreOutage outage(kRenewalInterval);
   outage.RecordSuccess(kLastSuccess);
-  outage.RecordSuccess(kFirstSuccess); // told by another daemon
+  outage.RecordSuccess(kFirstSuccess); // reported by another daemon
   outage.RecordFailure(kFirstSuccess - Millis(1000));
   CHECK(
     outage.GraceUntil(kLastSuccess, kFirstSuccess + Millis(300)).has_value());
--- a/test/correctness/StoreRelayTest.cpp
+++ b/test/correctness/StoreRelayTest.cpp
@@ -8,15 +8,15 @@
 namespace toucanshed::test {
 namespace {
 
-/** Each daemon's view: the words of all others. */
+/** One daemon's view: the heartbeats of all others. */
 std::vector<const serving::DaemonHeartbeat*>
 HeartbeatsOfOthers(const std::list<serving::DaemonHeartbeat>& aAll,
                    const std::string& aSelf)
 {
   std::vector<const serving::DaemonHeartbeat*> others;
-  for (const serving::DaemonHeartbeat& word : aAll) {
-    if (word.id() != aSelf) {
-      others.push_back(&word);
+  for (const serving::DaemonHeartbeat& heartbeat : aAll) {
+    if (heartbeat.id() != aSelf) {
+      others.push_back(&heartbeat);
     }
   }
   return others;
@@ -26,12 +26,14 @@
 ReadersOf(const std::list<serving::DaemonHeartbeat>& aAll)
 {
   std::vector<std::string> readers;
-  for (const serving::DaemonHeartbeat& word : aAll) {
-    const bool reaches = !word.stopping() && !word.store_lost();
-    const auto place = ReaderRank(
-      DaemonId{ word.id() }, reaches, HeartbeatsOfOthers(aAll, word.id()), {});
-    if (place && *place < kStoreReaders) {
-      readers.push_back(word.id());
+  for (const serving::DaemonHeartbeat& heartbeat : aAll) {
+    const bool reachesStore = !heartbeat.stopping() && !heartbeat.store_lost();
+    const auto rank = ReaderRank(DaemonId{ heartbeat.id() },
+                                 reachesStore,
+                                 HeartbeatsOfOthers(aAll, heartbeat.id()),
+                                 {});
+    if (rank && *rank < kStoreReaders) {
+      readers.push_back(heartbeat.id());
     }
   }
   return readers;
@@ -47,9 +49,9 @@
   }
   const std::vector<std::string> first = ReadersOf(all);
   REQUIRE(first.size() == kStoreReaders);
-  for (serving::DaemonHeartbeat& word : all) {
-    word.set_stopping(word.id() == first[0]);
-    word.set_store_lost(word.id() == first[1]);
+  for (serving::DaemonHeartbeat& heartbeat : all) {
+    heartbeat.set_stopping(heartbeat.id() == first[0]);
+    heartbeat.set_store_lost(heartbeat.id() == first[1]);
   }
   const std::vector<std::string> next = ReadersOf(all);
   CHECK(next.size() == kStoreReaders);
@@ -61,7 +63,8 @@
 
 TEST_CASE("daemons that start together agree on two readers")
 {
-  // None has heard another yet; each knows the others from the list.
+  // No daemon has received a heartbeat yet; each knows the others from the
+  // list.
   constexpr std::size_t kDaemons = 295;
   std::vector<DaemonId> all;
   all.reserve(kDaemons);
@@ -72,56 +75,56 @@
   for (const DaemonId& self : all) {
     std::vector<DaemonId> others = all;
     std::erase(others, self);
-    const auto place = ReaderRank(self, true, {}, others);
-    readers += *place < kStoreReaders ? 1 : 0;
+    const auto rank = ReaderRank(self, true, {}, others);
+    readers += *rank < kStoreReaders ? 1 : 0;
   }
   CHECK(readers == kStoreReaders);
 }
 
 TEST_CASE("a copy that no peer confirms is read again")
 {
-  constexpr Millis kMost{ 1300 };
+  constexpr Millis kMaxAge{ 1300 };
   TopicFreshness copy;
-  CHECK(copy.NeedsRead(TimePoint{ 0 }, kMost));
+  CHECK(copy.NeedsRead(TimePoint{ 0 }, kMaxAge));
   copy.RecordLocalRead(TimePoint{ 1000 });
-  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2000 }, kMost));
+  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2000 }, kMaxAge));
   copy.RecordPeerRead(TimePoint{ 2000 }, true);
-  CHECK_FALSE(copy.NeedsRead(TimePoint{ 3000 }, kMost));
-  CHECK(copy.NeedsRead(TimePoint{ 3300 }, kMost));
+  CHECK_FALSE(copy.NeedsRead(TimePoint{ 3000 }, kMaxAge));
+  CHECK(copy.NeedsRead(TimePoint{ 3300 }, kMaxAge));
 }
 
 TEST_CASE("a contradicted copy is read at once, if older")
 {
-  // A reader's word that was on its way while this daemon read itself says
-  // nothing against the newer copy.
-  constexpr Millis kMost{ 1300 };
+  // A reader's report that was in transit during this daemon's own read does
+  // not contradict the newer copy.
+  constexpr Millis kMaxAge{ 1300 };
   TopicFreshness copy;
   copy.RecordLocalRead(TimePoint{ 2000 });
   copy.RecordPeerRead(TimePoint{ 1900 }, false);
-  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2100 }, kMost));
+  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2100 }, kMaxAge));
   copy.RecordPeerRead(TimePoint{ 2050 }, false);
-  CHECK(copy.NeedsRead(TimePoint{ 2100 }, kMost));
+  CHECK(copy.NeedsRead(TimePoint{ 2100 }, kMaxAge));
   copy.RecordLocalRead(TimePoint{ 2100 });
-  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2200 }, kMost));
+  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2200 }, kMaxAge));
 }
 
-// A slow read ends after another daemon's newer one has shown that it lags.
+// A slow read ends after another daemon's newer read has contradicted it.
 TEST_CASE("a copy contradicted during its read is read again")
 {
-  constexpr Millis kMost{ 1300 };
+  constexpr Millis kMaxAge{ 1300 };
   TopicFreshness copy;
   copy.RecordLocalRead(TimePoint{ 1000 });
   copy.RecordPeerRead(TimePoint{ 2050 }, false);
   copy.RecordLocalRead(TimePoint{ 2040 });
-  CHECK(copy.NeedsRead(TimePoint{ 2100 }, kMost));
+  CHECK(copy.NeedsRead(TimePoint{ 2100 }, kMaxAge));
   copy.RecordLocalRead(TimePoint{ 2110 });
-  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2200 }, kMost));
+  CHECK_FALSE(copy.NeedsRead(TimePoint{ 2200 }, kMaxAge));
 }
 
 TEST_CASE("an older record from a peer is ignored")
 {
-  // An engine left while a datagram that listed it was on its way. Listed
-  // again, it would get requests after its end.
+  // An engine left while a datagram that listed it was in transit. If it were
+  // listed again, it would get requests after its end.
   ListRevisions copy;
   CHECK(copy.TryAdvance("e1", Position{ 7 }));
   CHECK(copy.TryAdvance("e1", Position{ 9 }));
@@ -131,7 +134,7 @@
   CHECK(copy.TryAdvance("e2", Position{ 20 }));
 }
 
-// The whole list was read from before a removal that a word has told already.
+// The full read began before a removal that a peer has already reported.
 TEST_CASE("an older full read does not undo a peer's record")
 {
   ListRevisions copy;
--- a/test/failure/EngineLimitTest.cpp
+++ b/test/failure/EngineLimitTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The daemon has run for so long that it may use parts of limits. */
+/** Waits until the daemon has run long enough to use limit shares. */
 Task<void>
 WaitUntilSharesUsable()
 {
@@ -15,106 +15,111 @@
 
 } // namespace
 
-// An engine in need is sent as much as any other after it has named its limit.
+// Guards against sending a rate-limited engine as much as any other.
 TEST_CASE("an engine gets no more than one and a half times its limit")
 {
   constexpr double kPerS = 1;
   constexpr std::size_t kSeconds = 4;
   constexpr std::size_t kAllowed = 11; // 1.5 * kPerS * kSeconds + 5
-  PlatformHarness world(22630);
-  auto& needy = world.AddEngine("e1", "plain");
-  needy.rateLimit = std::to_string(kPerS);
+  PlatformHarness harness(22630);
+  auto& limited = harness.AddEngine("e1", "plain");
+  limited.rateLimit = std::to_string(kPerS);
   std::size_t before = 0;
-  world.Run([](PlatformHarness& aWorld,
-               standin::PlatformEngine& aNeedy,
-               std::size_t& aBefore) -> Task<void> {
+  harness.Run([](PlatformHarness& aHarness,
+                 standin::PlatformEngine& aLimited,
+                 std::size_t& aBefore) -> Task<void> {
     CallerMessage first;
     first.attempt = "first";
-    co_await aWorld.SendRequest(std::move(first));
+    co_await aHarness.SendRequest(std::move(first));
     co_await Sleep(std::chrono::milliseconds(500));
-    aBefore = aNeedy.receivedRequests.size();
-    constexpr int kAsked = 40;
-    for (int i = 0; i < kAsked; ++i) {
+    aBefore = aLimited.receivedRequests.size();
+    constexpr int kRequests = 40;
+    for (int i = 0; i < kRequests; ++i) {
       CallerMessage send;
       send.attempt = "a" + std::to_string(i);
-      co_await aWorld.SendRequest(std::move(send));
-      co_await Sleep(std::chrono::milliseconds(1000 * kSeconds / kAsked));
+      co_await aHarness.SendRequest(std::move(send));
+      co_await Sleep(std::chrono::milliseconds(1000 * kSeconds / kRequests));
     }
-  }(world, needy, before));
-  CHECK(needy.receivedRequests.size() - before <= kAllowed);
-  CHECK(needy.receivedRequests.size() > before); // it is still asked
+  }(harness, limited, before));
+  CHECK(limited.receivedRequests.size() - before <= kAllowed);
+  CHECK(limited.receivedRequests.size() > before); // it still gets requests
 }
 
-// One engine in need takes callers' answers with it though others have room.
+// Guards against callers being refused because of one rate-limited engine while
+// others have capacity.
 TEST_CASE("requests beyond an engine's limit go elsewhere")
 {
-  PlatformHarness world(22640);
-  auto& needy = world.AddEngine("e1", "plain");
-  auto& other = world.AddEngine("e2", "plain");
-  needy.rateLimit = "0.5";
-  std::size_t answered = 0;
-  constexpr std::size_t kAsked = 30;
-  world.Run([](PlatformHarness& aWorld, std::size_t& aAnswered) -> Task<void> {
-    co_await WaitUntilSharesUsable();
-    aAnswered = co_await aWorld.SendRequests(kAsked);
-  }(world, answered));
-  CHECK(answered == kAsked);
-  CHECK(needy.receivedRequests.size() <=
-        2); // the one that told, and one of the part
-  CHECK(needy.receivedRequests.size() + other.receivedRequests.size() ==
-        kAsked);
+  PlatformHarness harness(22640);
+  auto& limited = harness.AddEngine("e1", "plain");
+  auto& other = harness.AddEngine("e2", "plain");
+  limited.rateLimit = "0.5";
+  std::size_t completed = 0;
+  constexpr std::size_t kRequests = 30;
+  harness.Run(
+    [](PlatformHarness& aHarness, std::size_t& aCompleted) -> Task<void> {
+      co_await WaitUntilSharesUsable();
+      aCompleted = co_await aHarness.SendRequests(kRequests);
+    }(harness, completed));
+  CHECK(completed == kRequests);
+  CHECK(limited.receivedRequests.size() <=
+        2); // the one that reported the limit, and one of the share
+  CHECK(limited.receivedRequests.size() + other.receivedRequests.size() ==
+        kRequests);
 }
 
-// A request that cannot be served waits until its caller gives up.
+// Guards against a request that cannot be served waiting for its deadline.
 TEST_CASE("a request beyond all limits is rejected at once")
 {
-  PlatformHarness world(22650);
-  auto& needy = world.AddEngine("e1", "plain");
-  needy.rateLimit = "0.5";
-  CallerResponse refused;
-  Millis took{ 0 };
-  world.Run([](PlatformHarness& aWorld,
-               CallerResponse& aRefused,
-               Millis& aTook) -> Task<void> {
+  PlatformHarness harness(22650);
+  auto& limited = harness.AddEngine("e1", "plain");
+  limited.rateLimit = "0.5";
+  CallerResponse rejected;
+  Millis elapsed{ 0 };
+  harness.Run([](PlatformHarness& aHarness,
+                 CallerResponse& aRejected,
+                 Millis& aElapsed) -> Task<void> {
     co_await WaitUntilSharesUsable();
-    co_await aWorld.SendRequests(2);
+    co_await aHarness.SendRequests(2);
     const TimePoint began = ServingState::Now();
     CallerMessage send;
-    aRefused = co_await aWorld.SendRequest(std::move(send));
-    aTook = ServingState::Now() - began;
-  }(world, refused, took));
-  CHECK(refused.status == 503);
-  CHECK(took < Millis(200));
-  CHECK(std::stod(refused.retryAfter) > 0.5); // a request in two seconds
-  CHECK(needy.receivedRequests.size() <= 2);
+    aRejected = co_await aHarness.SendRequest(std::move(send));
+    aElapsed = ServingState::Now() - began;
+  }(harness, rejected, elapsed));
+  CHECK(rejected.status == 503);
+  CHECK(elapsed < Millis(200));
+  CHECK(std::stod(rejected.retryAfter) > 0.5); // one request per 2 s
+  CHECK(limited.receivedRequests.size() <= 2);
 }
 
-// Daemons that never sent to the engine pass its limit together.
+// Guards against daemons that have sent nothing to the engine exceeding its
+// limit together.
 TEST_CASE("a limit reported by a peer is respected")
 {
-  PlatformHarness world(22660);
-  auto& needy = world.AddEngine("e1", "plain");
-  needy.rateLimit = "1";
-  world.Run([](PlatformHarness& aWorld) -> Task<void> {
+  PlatformHarness harness(22660);
+  auto& limited = harness.AddEngine("e1", "plain");
+  limited.rateLimit = "1";
+  harness.Run([](PlatformHarness& aHarness) -> Task<void> {
     const TimePoint now = ServingState::Now();
-    aWorld.state->engineLimits.ReceiveUpdate(
+    aHarness.state->engineLimits.ReceiveUpdate(
       LimitUpdate{ InstanceId{ "e1" }, 1, RequestRate{ 1 }, false, now }, now);
-    co_await aWorld.SendRequests(20);
-  }(world));
+    co_await aHarness.SendRequests(20);
+  }(harness));
   CHECK(
-    needy.receivedRequests.empty()); // it has no part before it is known to all
+    limited.receivedRequests.empty()); // the daemon is too new to use shares
 }
 
-// Bytes that are no number lift a limit, and the engine is flooded.
+// Guards against an unreadable value that lifts the limit, so that the engine
+// is flooded.
 TEST_CASE("an unreadable limit differs from no limit")
 {
-  PlatformHarness world(22670);
-  const BackendFormat& format = world.state->wire.backends;
+  PlatformHarness harness(22670);
+  const BackendFormat& format = harness.state->wire.backends;
   http::fields fields;
   CHECK_FALSE(format.read(200, fields).limit.has_value());
   CHECK_FALSE(format.read(200, fields).unreadableLimit);
-  for (const char* odd : { "", "-1", "nan", "inf", "1e999", "2 a second" }) {
-    fields.set("Server-Limit", odd);
+  for (const char* invalid :
+       { "", "-1", "nan", "inf", "1e999", "2 a second" }) {
+    fields.set("Server-Limit", invalid);
     CHECK_FALSE(format.read(200, fields).limit.has_value());
     CHECK(format.read(200, fields).unreadableLimit);
   }
