--- a/test/HeartbeatTiming.h
+++ b/test/HeartbeatTiming.h
@@ -1,5 +1,5 @@
 /** \file
- * When daemons in logical time speak to each other, as real ones do.
+ * Heartbeat timing of simulated daemons, the same as in the real daemon.
  */
 #pragma once
 
@@ -10,26 +10,27 @@
 
 namespace toucanshed::test {
 
-/** Daemons that one word is said to at once. */
+/** Daemons that one heartbeat is sent to at once. */
 constexpr std::size_t kHeartbeatBatchSize = 12;
 
-/** Between two regular words of a daemon, among so many. */
+/** Interval between two heartbeats of a daemon, with aDaemons in all. */
 inline Millis
 HeartbeatInterval(std::size_t aDaemons)
 {
-  constexpr Millis kEvery{ 150 };
-  constexpr Millis kEveryForEach{ 12 };
-  return std::max(kEvery, kEveryForEach * static_cast<std::int64_t>(aDaemons));
+  constexpr Millis kInterval{ 150 };
+  constexpr Millis kIntervalPerDaemon{ 12 };
+  return std::max(kInterval,
+                  kIntervalPerDaemon * static_cast<std::int64_t>(aDaemons));
 }
 
-/** A daemon that has said nothing for this long is not heard any more. */
+/** Time without a heartbeat after which a daemon is unreachable. */
 inline Millis
 HeartbeatTimeout(std::size_t aDaemons)
 {
-  constexpr Millis kSilent{ 1500 };
-  constexpr Millis kSilentForEach{ 36 };
-  return std::max(kSilent,
-                  kSilentForEach * static_cast<std::int64_t>(aDaemons));
+  constexpr Millis kTimeout{ 1500 };
+  constexpr Millis kTimeoutPerDaemon{ 36 };
+  return std::max(kTimeout,
+                  kTimeoutPerDaemon * static_cast<std::int64_t>(aDaemons));
 }
 
 } // namespace toucanshed::test
--- a/test/LimitSimulation.cpp
+++ b/test/LimitSimulation.cpp
@@ -25,8 +25,8 @@
 
 LimitSimulation::LimitSimulation(std::size_t aDaemons,
                                  std::size_t aEngines,
-                                 LimitNetwork aNet)
-  : network(aNet)
+                                 LimitNetwork aNetwork)
+  : network(aNetwork)
   , daemons(aDaemons)
   , engines(aEngines)
 {
@@ -59,21 +59,23 @@
 }
 
 void
-LimitSimulation::Send(std::size_t aFrom, std::size_t aTo, Message aWord)
+LimitSimulation::Send(std::size_t aFrom, std::size_t aTo, Message aMessage)
 {
   constexpr std::uint64_t kWhole = 10000;
-  const bool apart =
+  const bool separated =
     this->partitioned.contains(aFrom) != this->partitioned.contains(aTo);
   const auto chance =
     static_cast<double>(this->random.NextBelow(kWhole)) / kWhole;
-  if (aFrom == aTo || apart || chance < this->network.lossRate) {
+  if (aFrom == aTo || separated || chance < this->network.lossRate) {
     return;
   }
-  aWord.from = aFrom;
-  aWord.to = aTo;
-  const auto late = static_cast<std::uint64_t>(this->network.maxDelay.count());
-  this->messages.emplace(this->now + Millis(1 + this->random.NextBelow(late)),
-                         std::move(aWord));
+  aMessage.from = aFrom;
+  aMessage.to = aTo;
+  const auto maxDelay =
+    static_cast<std::uint64_t>(this->network.maxDelay.count());
+  this->messages.emplace(this->now +
+                           Millis(1 + this->random.NextBelow(maxDelay)),
+                         std::move(aMessage));
 }
 
 void
@@ -81,18 +83,18 @@
 {
   Daemon& daemon = this->daemons[aDaemon];
   const std::size_t count = this->daemons.size();
-  const std::size_t parts =
+  const std::size_t batches =
     (count + kHeartbeatBatchSize - 1) / kHeartbeatBatchSize;
   daemon.heartbeatAt =
-    daemon.heartbeatAt +
-    HeartbeatInterval(this->daemons.size()) / static_cast<std::int64_t>(parts);
-  daemon.heartbeatBatch = (daemon.heartbeatBatch + 1) % parts;
+    daemon.heartbeatAt + HeartbeatInterval(this->daemons.size()) /
+                           static_cast<std::int64_t>(batches);
+  daemon.heartbeatBatch = (daemon.heartbeatBatch + 1) % batches;
   daemon.limits->Expire(this->now);
-  Message word;
-  word.isHeartbeat = true;
-  word.updates = daemon.limits->TakeHeartbeatUpdates();
-  for (std::size_t to = daemon.heartbeatBatch; to < count; to += parts) {
-    this->Send(aDaemon, to, word);
+  Message message;
+  message.isHeartbeat = true;
+  message.updates = daemon.limits->TakeHeartbeatUpdates();
+  for (std::size_t to = daemon.heartbeatBatch; to < count; to += batches) {
+    this->Send(aDaemon, to, message);
   }
 }
 
@@ -101,37 +103,37 @@
 {
   while (!this->messages.empty() &&
          this->messages.begin()->first <= this->now) {
-    const Message word = this->messages.begin()->second;
+    const Message message = this->messages.begin()->second;
     this->messages.erase(this->messages.begin());
-    if (!this->IsAwake(word.to)) {
-      continue; // its queue is full before it wakes
+    if (!this->IsAwake(message.to)) {
+      continue; // the queue of a suspended daemon overflows
     }
-    Daemon& daemon = this->daemons[word.to];
-    if (word.isHeartbeat) {
-      daemon.shares->RecordHeartbeat(IdOf(word.from), this->now);
+    Daemon& daemon = this->daemons[message.to];
+    if (message.isHeartbeat) {
+      daemon.shares->RecordHeartbeat(IdOf(message.from), this->now);
     }
-    for (const LimitUpdate& news : word.updates) {
-      daemon.limits->ReceiveUpdate(news, this->now);
+    for (const LimitUpdate& update : message.updates) {
+      daemon.limits->ReceiveUpdate(update, this->now);
     }
   }
   while (!this->responses.empty() &&
          this->responses.begin()->first <= this->now) {
-    const Response answer = this->responses.begin()->second;
+    const Response response = this->responses.begin()->second;
     this->responses.erase(this->responses.begin());
-    Daemon& daemon = this->daemons[answer.daemon];
-    Engine& engine = this->engines[answer.engine];
-    if (daemon.incarnation != answer.incarnation ||
-        !this->IsAwake(answer.daemon)) {
+    Daemon& daemon = this->daemons[response.daemon];
+    Engine& engine = this->engines[response.engine];
+    if (daemon.incarnation != response.incarnation ||
+        !this->IsAwake(response.daemon)) {
       continue;
     }
     if (engine.limit && !engine.firstReportedAt) {
       engine.firstReportedAt = this->now;
     }
-    std::optional<RequestRate> named;
+    std::optional<RequestRate> reportedLimit;
     if (engine.limit) {
-      named = RequestRate{ *engine.limit };
+      reportedLimit = RequestRate{ *engine.limit };
     }
-    daemon.limits->RecordResponse(engine.id, 1, named, this->now);
+    daemon.limits->RecordResponse(engine.id, 1, reportedLimit, this->now);
     if (daemon.limits->HasUrgentUpdates() && !daemon.urgentReportAt) {
       daemon.urgentReportAt =
         this->now + Millis(this->random.NextBelow(kMaxUrgentDelayMs));
@@ -149,9 +151,9 @@
     return false;
   }
   this->RecordArrival(aDaemon, aEngine);
-  const Millis takes(kMinResponseMs +
-                     this->random.NextBelow(kResponseSpreadMs));
-  this->responses.emplace(this->now + takes,
+  const Millis responseTime(kMinResponseMs +
+                            this->random.NextBelow(kResponseSpreadMs));
+  this->responses.emplace(this->now + responseTime,
                           Response{ aDaemon, daemon.incarnation, aEngine });
   return true;
 }
@@ -184,11 +186,11 @@
   for (const auto& [at, limit] : engine.recentLimits) {
     highest = std::max(highest, limit);
   }
-  constexpr double kAllowedPart = 1.5;
-  constexpr double kAllowedMore = 5;
+  constexpr double kAllowedFactor = 1.5;
+  constexpr double kAllowedSlack = 5;
   const double seconds =
     static_cast<double>(kWindow.count()) / kMillisPerSecond;
-  const double allowed = kAllowedPart * highest * seconds + kAllowedMore;
+  const double allowed = kAllowedFactor * highest * seconds + kAllowedSlack;
   this->maxUsage =
     std::max(this->maxUsage,
              static_cast<double>(engine.countedArrivals.size()) / allowed);
@@ -221,10 +223,10 @@
     }
     if (daemon.urgentReportAt && *daemon.urgentReportAt <= this->now) {
       daemon.urgentReportAt.reset();
-      Message word;
-      word.updates = daemon.limits->TakeUrgentUpdates();
+      Message message;
+      message.updates = daemon.limits->TakeUrgentUpdates();
       for (std::size_t to = 0; to < this->daemons.size(); ++to) {
-        this->Send(i, to, word);
+        this->Send(i, to, message);
       }
     }
     if (daemon.heartbeatAt <= this->now) {
@@ -234,9 +236,9 @@
 }
 
 void
-LimitSimulation::Run(Millis aFor, double aRequestsPerS)
+LimitSimulation::Run(Millis aDuration, double aRequestsPerS)
 {
-  const TimePoint end = this->now + aFor;
+  const TimePoint end = this->now + aDuration;
   while (this->now < end) {
     this->Step();
     this->pendingLoad += aRequestsPerS / kMillisPerSecond;
@@ -270,10 +272,10 @@
 }
 
 void
-LimitSimulation::Freeze(std::size_t aDaemon, Millis aFor)
+LimitSimulation::Freeze(std::size_t aDaemon, Millis aDuration)
 {
   Daemon& daemon = this->daemons[aDaemon];
-  daemon.resumesAt = this->now + aFor;
+  daemon.resumesAt = this->now + aDuration;
   daemon.graceUntil = daemon.resumesAt + kGracePeriod;
 }
 
--- a/test/LimitSimulation.h
+++ b/test/LimitSimulation.h
@@ -1,5 +1,5 @@
 /** \file
- * Daemons that share the limits of engines in need by words, in logical time.
+ * Simulates, in logical time, daemons that share engines' rate limits.
  */
 #pragma once
 
@@ -16,44 +16,47 @@
 
 namespace toucanshed::test {
 
-/** What the network does to words between daemons. */
+/** Loss and delay of messages between daemons. */
 struct LimitNetwork
 {
-  double lossRate = 0;  // part of them
-  Millis maxDelay{ 5 }; // the latest arrive after this
+  double lossRate = 0;  // fraction of the messages
+  Millis maxDelay{ 5 }; // upper bound
 };
 
 class LimitSimulation
 {
 public:
-  /** A daemon is excused for so long after it started, woke or was cut, and so
-   * long after it first named its limit an engine may have got more. */
+  /** Arrivals do not count against a limit for this long after their daemon
+   * started, resumed or was partitioned, and for this long after the engine
+   * first reported the limit. */
   static constexpr Millis kGracePeriod{ 3000 };
-  /** Limits are judged over this long. */
+  /** Limits are checked over windows of this length. */
   static constexpr Millis kWindow{ 4000 };
 
   LimitSimulation(std::size_t aDaemons,
                   std::size_t aEngines,
-                  LimitNetwork aNet);
+                  LimitNetwork aNetwork);
 
-  /** Plays requests, each to a daemon and an engine chosen at random; one that
-   * may not be sent there is tried at the other engines. */
-  void Run(Millis aFor, double aRequestsPerS);
-  /** The engine names a limit from here on; nothing: none. */
+  /** Simulates requests, each to a random daemon and engine. A request that may
+   * not be sent to that engine is tried at the other ones. */
+  void Run(Millis aDuration, double aRequestsPerS);
+  /** The engine reports a limit from now on; nothing: none. */
   void SetLimit(std::size_t aEngine, std::optional<double> aPerS);
-  /** All processes die and are back within aSpread. */
+  /** All daemons restart; each is back within aSpread. */
   void RestartAll(Millis aSpread);
-  /** One process stops for so long and goes on as if nothing had happened. */
-  void Freeze(std::size_t aDaemon, Millis aFor);
-  /** No words pass between aGroup and the others. */
+  /** One daemon is suspended for aDuration and then resumes with its state
+   * unchanged. */
+  void Freeze(std::size_t aDaemon, Millis aDuration);
+  /** No messages pass between aGroup and the others. */
   void Partition(std::set<std::size_t> aGroup);
 
-  /** The most that an engine got in a window, as a part of what the window
-   * allowed: one and a half times the highest limit named in it, and 5. */
+  /** Maximum over all engines and windows of the requests received, as a
+   * fraction of the allowed ones: one and a half times the highest limit in the
+   * window, plus 5. */
   [[nodiscard]] double MaxUsage() const { return this->maxUsage; }
-  /** Requests that the engine got since this was last asked. */
+  /** Requests that the engine received since the last call. */
   std::size_t TakeArrivals(std::size_t aEngine);
-  /** Daemons that hold the engine to a limit. */
+  /** Daemons that apply a limit to the engine. */
   [[nodiscard]] std::size_t DaemonsWithLimit(std::size_t aEngine) const;
 
 private:
@@ -86,15 +89,15 @@
     InstanceId id;
     std::optional<double> limit;
     std::optional<TimePoint> firstReportedAt;
-    std::deque<TimePoint> countedArrivals;                 // arrivals
-    std::deque<std::pair<TimePoint, double>> recentLimits; // with the limit
+    std::deque<TimePoint> countedArrivals; // those that count against the limit
+    std::deque<std::pair<TimePoint, double>> recentLimits; // at each arrival
     std::size_t arrivals = 0;
   };
 
   void Step();
   void Start(std::size_t aDaemon);
   void SendHeartbeat(std::size_t aDaemon);
-  void Send(std::size_t aFrom, std::size_t aTo, Message aWord);
+  void Send(std::size_t aFrom, std::size_t aTo, Message aMessage);
   void Deliver();
   void IssueRequest();
   bool TrySend(std::size_t aDaemon, std::size_t aEngine);
@@ -111,7 +114,7 @@
   std::multimap<TimePoint, Message> messages;
   std::multimap<TimePoint, Response> responses;
   std::set<std::size_t> partitioned;
-  double pendingLoad = 0; // of the load, until it makes a whole request
+  double pendingLoad = 0; // fraction of a request carried over
   double maxUsage = 0;
   Random random{ 11 };
 };
--- a/test/QuotaSimulation.cpp
+++ b/test/QuotaSimulation.cpp
@@ -22,8 +22,8 @@
 
 QuotaSimulation::QuotaSimulation(std::size_t aDaemons,
                                  double aRate,
-                                 QuotaNetwork aLoss)
-  : network(aLoss)
+                                 QuotaNetwork aNetwork)
+  : network(aNetwork)
   , daemons(aDaemons)
 {
   Team team;
@@ -70,10 +70,10 @@
   const auto interval =
     static_cast<std::uint64_t>(this->ReportInterval().count());
   daemon.reportAt = this->now + Millis(this->random.NextBelow(interval));
-  serving::QuotaReport hello = this->ReportOf(aDaemon);
-  hello.set_ask(true);
+  serving::QuotaReport initialReport = this->ReportOf(aDaemon);
+  initialReport.set_ask(true);
   for (std::size_t i = 0; i < this->daemons.size(); ++i) {
-    this->Send(aDaemon, i, hello, QuotaReportTiming::eImmediate);
+    this->Send(aDaemon, i, initialReport, QuotaReportTiming::eImmediate);
   }
 }
 
@@ -81,18 +81,18 @@
 QuotaSimulation::ReportOf(std::size_t aDaemon) const
 {
   const Daemon& daemon = this->daemons[aDaemon];
-  serving::QuotaReport word;
-  word.set_id(NameOf(aDaemon));
-  word.set_life(daemon.incarnation);
-  word.set_address(std::to_string(aDaemon));
-  for (const QuotaState& copy : daemon.quotas->BucketStates(this->now)) {
-    serving::TeamQuotaState* team = word.add_teams();
-    team->set_team(copy.team.value);
-    team->set_taken(copy.taken);
-    team->set_settled(copy.level.has_value());
-    team->set_level(copy.level.value_or(0));
+  serving::QuotaReport report;
+  report.set_id(NameOf(aDaemon));
+  report.set_life(daemon.incarnation);
+  report.set_address(std::to_string(aDaemon));
+  for (const QuotaState& state : daemon.quotas->BucketStates(this->now)) {
+    serving::TeamQuotaState* team = report.add_teams();
+    team->set_team(state.team.value);
+    team->set_taken(state.taken);
+    team->set_settled(state.level.has_value());
+    team->set_level(state.level.value_or(0));
   }
-  return word;
+  return report;
 }
 
 bool
@@ -104,8 +104,8 @@
 void
 QuotaSimulation::Send(std::size_t aFrom,
                       std::size_t aTo,
-                      const serving::QuotaReport& aWord,
-                      QuotaReportTiming aTelling)
+                      const serving::QuotaReport& aReport,
+                      QuotaReportTiming aTiming)
 {
   constexpr std::uint64_t kWhole = 10000;
   const auto chance =
@@ -115,9 +115,10 @@
   if (!arrives) {
     return;
   }
-  const auto late = static_cast<std::uint64_t>(this->network.maxDelay.count());
-  const TimePoint at = this->now + Millis(1 + this->random.NextBelow(late));
-  this->inTransit.emplace(at, Message{ aTo, aWord, aTelling });
+  const auto maxDelay =
+    static_cast<std::uint64_t>(this->network.maxDelay.count());
+  const TimePoint at = this->now + Millis(1 + this->random.NextBelow(maxDelay));
+  this->inTransit.emplace(at, Message{ aTo, aReport, aTiming });
 }
 
 void
@@ -125,17 +126,19 @@
 {
   while (!this->inTransit.empty() &&
          this->inTransit.begin()->first <= this->now) {
-    const Message word = this->inTransit.begin()->second;
+    const Message message = this->inTransit.begin()->second;
     this->inTransit.erase(this->inTransit.begin());
-    Daemon& daemon = this->daemons[word.to];
+    Daemon& daemon = this->daemons[message.to];
     if (!daemon.up) {
       continue;
     }
-    daemon.exchange->ReceiveReport(word.report, word.timing, this->now);
-    if (word.report.ask()) {
-      const std::size_t asker = std::stoul(word.report.address());
-      this->Send(
-        word.to, asker, this->ReportOf(word.to), QuotaReportTiming::eImmediate);
+    daemon.exchange->ReceiveReport(message.report, message.timing, this->now);
+    if (message.report.ask()) {
+      const std::size_t sender = std::stoul(message.report.address());
+      this->Send(message.to,
+                 sender,
+                 this->ReportOf(message.to),
+                 QuotaReportTiming::eImmediate);
     }
   }
 }
@@ -145,37 +148,38 @@
 {
   Daemon& daemon = this->daemons[aDaemon];
   const std::size_t count = this->daemons.size();
-  const std::size_t parts =
+  const std::size_t batches =
     (count + kHeartbeatBatchSize - 1) / kHeartbeatBatchSize;
-  daemon.reportAt =
-    daemon.reportAt + this->ReportInterval() / static_cast<std::int64_t>(parts);
-  daemon.reportBatch = (daemon.reportBatch + 1) % parts;
-  const serving::QuotaReport word = this->ReportOf(aDaemon);
-  for (std::size_t to = daemon.reportBatch; to < count; to += parts) {
-    this->Send(aDaemon, to, word, QuotaReportTiming::ePeriodic);
+  daemon.reportAt = daemon.reportAt +
+                    this->ReportInterval() / static_cast<std::int64_t>(batches);
+  daemon.reportBatch = (daemon.reportBatch + 1) % batches;
+  const serving::QuotaReport report = this->ReportOf(aDaemon);
+  for (std::size_t to = daemon.reportBatch; to < count; to += batches) {
+    this->Send(aDaemon, to, report, QuotaReportTiming::ePeriodic);
   }
 }
 
 void
 QuotaSimulation::Refresh(Daemon& aDaemon)
 {
-  const Millis silent = HeartbeatTimeout(this->daemons.size());
+  const Millis timeout = HeartbeatTimeout(this->daemons.size());
   const auto index = static_cast<std::size_t>(&aDaemon - &this->daemons[0]);
-  const bool reaches =
+  const bool reachesStore =
     !(this->partitionedFromStore && this->partitioned.contains(index));
   TeamQuotas& quotas = *aDaemon.quotas;
   quotas.SetReachableShare(
-    aDaemon.exchange->ReachableShare(this->now, silent, reaches), this->now);
-  quotas.SetReportInterval(
-    aDaemon.exchange->ReportInterval(this->now, silent, this->ReportInterval()),
+    aDaemon.exchange->ReachableShare(this->now, timeout, reachesStore),
     this->now);
+  quotas.SetReportInterval(aDaemon.exchange->ReportInterval(
+                             this->now, timeout, this->ReportInterval()),
+                           this->now);
   for (const TeamId& team : quotas.UnsyncedTeams(this->now)) {
     if (const auto level = aDaemon.exchange->ReportedLevel(team, this->now)) {
       quotas.SyncLevel(team, *level, this->now);
     }
   }
   for (const auto& [team, taken] :
-       aDaemon.exchange->TakeRemoteUsage(this->now, silent)) {
+       aDaemon.exchange->TakeRemoteUsage(this->now, timeout)) {
     quotas.AddRemoteUsage(team, taken, this->now);
   }
 }
@@ -185,7 +189,7 @@
 {
   Daemon& daemon = this->daemons[aDaemon];
   if (!daemon.up) {
-    return; // the balancer sends nothing there
+    return; // the load balancer skips it
   }
   this->counts.requested += aCost;
   this->Refresh(daemon);
@@ -197,9 +201,9 @@
   const std::size_t count = this->daemons.size();
   if (daemon.quotas->MustReportNow(team.id, count)) {
     daemon.quotas->TakeReport(team.id, this->now);
-    const serving::QuotaReport word = this->ReportOf(aDaemon);
+    const serving::QuotaReport report = this->ReportOf(aDaemon);
     for (std::size_t i = 0; i < count; ++i) {
-      this->Send(aDaemon, i, word, QuotaReportTiming::eImmediate);
+      this->Send(aDaemon, i, report, QuotaReportTiming::eImmediate);
     }
   }
 }
@@ -236,9 +240,9 @@
 }
 
 void
-QuotaSimulation::Run(Millis aFor, QuotaLoad aLoad)
+QuotaSimulation::Run(Millis aDuration, QuotaLoad aLoad)
 {
-  const TimePoint end = this->now + aFor;
+  const TimePoint end = this->now + aDuration;
   while (this->now < end) {
     this->Step();
     this->pendingLoad += aLoad.perS / kMillisPerSecond;
@@ -251,19 +255,19 @@
 }
 
 void
-QuotaSimulation::RestartAll(Millis aAfter, Millis aSpread)
+QuotaSimulation::RestartAll(Millis aDelay, Millis aSpread)
 {
   const auto spread = static_cast<std::uint64_t>(aSpread.count());
   for (std::size_t i = 0; i < this->daemons.size(); ++i) {
-    this->Restart(i, aAfter + Millis(this->random.NextBelow(spread)));
+    this->Restart(i, aDelay + Millis(this->random.NextBelow(spread)));
   }
 }
 
 void
-QuotaSimulation::Restart(std::size_t aDaemon, Millis aAfter)
+QuotaSimulation::Restart(std::size_t aDaemon, Millis aDelay)
 {
   this->daemons[aDaemon].up = false;
-  this->daemons[aDaemon].restartsAt = this->now + aAfter;
+  this->daemons[aDaemon].restartsAt = this->now + aDelay;
 }
 
 void
--- a/test/QuotaSimulation.h
+++ b/test/QuotaSimulation.h
@@ -1,5 +1,5 @@
 /** \file
- * Daemons that share one team's limit by words, in logical time.
+ * Simulates, in logical time, daemons that share one team's limit.
  */
 #pragma once
 
@@ -16,26 +16,26 @@
 
 namespace toucanshed::test {
 
-/** What the network does to words. */
+/** Loss and delay of messages between daemons. */
 struct QuotaNetwork
 {
-  double lossRate = 0;  // part of them
-  Millis maxDelay{ 3 }; // the latest arrive after this
+  double lossRate = 0;  // fraction of the messages
+  Millis maxDelay{ 3 }; // upper bound
 };
 
-/** What is asked of the team's limit. */
+/** Load that the team creates. */
 struct QuotaLoad
 {
-  double perS = 0; // the team's units
+  double perS = 0; // units of the team's limit per second
   double cost = 1; // of one request
 };
 
-/** What callers saw. */
+/** Outcomes of the callers' requests. */
 struct QuotaCounts
 {
   double requested = 0;
   double admitted = 0;
-  double maxInWindow = 0; // passed within any 8 s
+  double maxInWindow = 0; // maximum admitted within any 8 s
 };
 
 class QuotaSimulation
@@ -43,25 +43,26 @@
 public:
   static constexpr Millis kWindow{ 8000 };
 
-  /** \param aRate of the team, each second; its burst is one second of it. */
-  QuotaSimulation(std::size_t aDaemons, double aRate, QuotaNetwork aLoss);
+  /** \param aRate the team's limit per second; its burst is one second of it */
+  QuotaSimulation(std::size_t aDaemons, double aRate, QuotaNetwork aNetwork);
 
-  /** Plays requests, each to a daemon chosen at random. */
-  void Run(Millis aFor, QuotaLoad aLoad);
-  /** All processes die at once and are back aAfter later, one after the other
-   * within aSpread, knowing nothing but who the others are. */
-  void RestartAll(Millis aAfter, Millis aSpread);
-  /** One process dies and is back aAfter later. */
-  void Restart(std::size_t aDaemon, Millis aAfter);
-  /** No words pass between aGroup and the others. */
+  /** Simulates requests, each to a random daemon. */
+  void Run(Millis aDuration, QuotaLoad aLoad);
+  /** All daemons are killed at once and restart after aDelay, spread over
+   * aSpread. They know the list of daemons only. */
+  void RestartAll(Millis aDelay, Millis aSpread);
+  /** One daemon is killed and restarts after aDelay. */
+  void Restart(std::size_t aDaemon, Millis aDelay);
+  /** No messages pass between aGroup and the others.
+   * \param aFromStore whether aGroup is cut off from the store too */
   void Partition(std::set<std::size_t> aGroup, bool aFromStore);
-  /** Counts from here on. */
+  /** Restarts the counts. */
   void ResetCounts();
 
   [[nodiscard]] const QuotaCounts& Counts() const { return this->counts; }
-  /** What a window may hold at most. */
+  /** Upper bound of the admitted cost in a window. */
   [[nodiscard]] double Allowed() const;
-  /** Between two regular words of a daemon. */
+  /** Interval between two periodic reports of a daemon. */
   [[nodiscard]] Millis ReportInterval() const;
 
 private:
@@ -93,8 +94,8 @@
   void IssueRequest(std::size_t aDaemon, double aCost);
   void Send(std::size_t aFrom,
             std::size_t aTo,
-            const serving::QuotaReport& aWord,
-            QuotaReportTiming aTelling);
+            const serving::QuotaReport& aReport,
+            QuotaReportTiming aTiming);
   void Deliver();
   void Refresh(Daemon& aDaemon);
   void RecordAdmission(double aCost);
@@ -109,7 +110,7 @@
   std::multimap<TimePoint, Message> inTransit;
   std::set<std::size_t> partitioned;
   bool partitionedFromStore = false;
-  double pendingLoad = 0; // of the load, until it makes a whole request
+  double pendingLoad = 0; // load carried over until it covers a request
   Random random{ 7 };
   QuotaCounts counts;
   std::deque<Admission> recentAdmissions;
--- a/test/performance/PolicySimulation.cpp
+++ b/test/performance/PolicySimulation.cpp
@@ -22,7 +22,7 @@
 constexpr std::int64_t kReportIntervalUs = 300000;
 constexpr Millis kInteractiveDeadline{ 2000 };
 constexpr Millis kBatchDeadline{ 20000 };
-/** Later than this a place is of no use any more. */
+/** Maximum time in the queue; a slot is useless to the request after that. */
 constexpr Millis kInteractiveQueueTimeout{ 1600 };
 constexpr Millis kBatchQueueTimeout{ 14000 };
 constexpr std::int64_t kSecond = 1000000;
@@ -38,8 +38,8 @@
     static_cast<double>(aValues.size() - 1) * aShare)];
 }
 
-/** Requests a second that the engines can serve in full batches, in which a
- * step takes twice as long, with half of the prefixes cached. */
+/** Requests per second that the engines serve with full batches, in which a
+ * step takes twice as long, and half of the prefixes cached. */
 double
 Capacity(std::size_t aEngines)
 {
@@ -93,8 +93,8 @@
 {
   const std::int64_t third = this->options.seconds * kSecond / 3;
   const bool peak = aUs >= third && aUs < 2 * third;
-  const double part = !this->options.peakProfile || peak ? 1.0 : 0.5;
-  return part * this->options.load;
+  const double loadShare = !this->options.peakProfile || peak ? 1.0 : 0.5;
+  return loadShare * this->options.load;
 }
 
 void
@@ -114,23 +114,23 @@
 PolicySimulation::Arrive()
 {
   auto job = std::make_shared<Job>();
-  const bool report = this->random.NextUnit() < kBatchTrafficShare;
+  const bool isBatch = this->random.NextUnit() < kBatchTrafficShare;
   job->largeTeam = this->random.NextUnit() < this->options.largeTeamShare;
   job->daemon = this->random.NextBelow(this->daemons.size());
   job->ticket = ++this->lastTicket;
-  job->outputTokens = report ? kBatchTokens : kInteractiveTokens;
+  job->outputTokens = isBatch ? kBatchTokens : kInteractiveTokens;
   job->item.ticket = job->ticket;
   job->item.team =
     TeamId{ job->largeTeam
               ? "large"
               : "small-" + std::to_string(this->random.NextBelow(4)) };
   job->item.latencyClass =
-    report ? LatencyClass::eBatch : LatencyClass::eInteractive;
+    isBatch ? LatencyClass::eBatch : LatencyClass::eInteractive;
   job->item.cost =
     static_cast<double>(job->outputTokens + kPrefixTokens + kQuestionTokens);
   job->item.arrived = this->Now();
   job->item.deadline =
-    this->Now() + (report ? kBatchQueueTimeout : kInteractiveQueueTimeout);
+    this->Now() + (isBatch ? kBatchQueueTimeout : kInteractiveQueueTimeout);
   job->route.service = ServiceId{ "survey" };
   job->route.version = VersionId{ "v1" };
   job->route.zone = ZoneId{ "z" + std::to_string(job->daemon % 4) };
@@ -139,7 +139,7 @@
   job->route.prefixTokens = kPrefixTokens;
   job->route.promptTokens = kPrefixTokens + kQuestionTokens;
   ++this->result.arrived;
-  this->result.batchRequests += report ? 1 : 0;
+  this->result.batchRequests += isBatch ? 1 : 0;
   FakeDaemon& daemon = this->daemons[job->daemon];
   if (!daemon.queue.Push(job->item)) {
     ++this->result.refused;
@@ -192,11 +192,11 @@
 PolicySimulation::EnqueueAtEngine(const JobPtr& aJob)
 {
   FakeEngine& engine = this->engines[std::stoul(aJob->choice.id.value)];
-  const auto place = std::find_if(
+  const auto position = std::find_if(
     engine.waiting.begin(), engine.waiting.end(), [&](const JobPtr& aOther) {
       return aOther->priority < aJob->priority;
     });
-  engine.waiting.insert(place, aJob);
+  engine.waiting.insert(position, aJob);
   this->StartNext(engine);
 }
 
@@ -246,13 +246,14 @@
 PolicySimulation::Finish(FakeEngine& aEngine, const JobPtr& aJob)
 {
   --aEngine.running;
-  EngineResult ending;
-  ending.completed = true;
-  ending.firstTokenMs =
+  EngineResult engineResult;
+  engineResult.completed = true;
+  engineResult.firstTokenMs =
     static_cast<double>((aJob->firstToken - aJob->sent).count());
-  ending.totalMs = static_cast<double>((this->Now() - aJob->sent).count());
+  engineResult.totalMs =
+    static_cast<double>((this->Now() - aJob->sent).count());
   FakeDaemon& daemon = this->daemons[aJob->daemon];
-  daemon.router->Finish(aJob->choice, ending);
+  daemon.router->Finish(aJob->choice, engineResult);
   daemon.budget.RecordEnd(aJob->item.team, aJob->item.latencyClass);
   const Millis first = aJob->firstToken - aJob->item.arrived;
   if (aJob->item.latencyClass == LatencyClass::eInteractive) {
@@ -286,10 +287,11 @@
       report.waiting = this->engines[i].waiting.size();
       daemon.router->Upsert(report);
     }
-    const Router::VersionCapacity supply = daemon.router->CapacityOf(
+    const Router::VersionCapacity capacity = daemon.router->CapacityOf(
       ServiceId{ "survey" }, VersionId{ "v1" }, this->Now());
-    daemon.budget.Update(
-      supply.slots, supply.waiting, static_cast<double>(this->daemons.size()));
+    daemon.budget.Update(capacity.slots,
+                         capacity.waiting,
+                         static_cast<double>(this->daemons.size()));
   }
   for (std::size_t i = 0; i < this->daemons.size(); ++i) {
     this->DispatchQueued(i);
--- a/test/performance/PolicySimulation.h
+++ b/test/performance/PolicySimulation.h
@@ -1,6 +1,6 @@
 /** \file
- * Daemons' real routing and queueing over small queueing fakes of engines, in
- * logical time.
+ * Simulates, in logical time, the daemons' real routing and queueing with fake
+ * engines.
  */
 #pragma once
 
@@ -25,8 +25,8 @@
   RoutingPolicy policy = RoutingPolicy::eExpectedFirstToken;
   std::size_t engines = 20;
   std::size_t daemons = 6;
-  double load = 0.8;       // of the capacity, at the peak
-  bool peakProfile = true; // half the load, the peak, half the load
+  double load = 0.8;       // fraction of the capacity, at the peak
+  bool peakProfile = true; // half, full and half load, a third each
   bool slowEngine = true;  // engine 0 takes three times as long
   double largeTeamShare = 0.6;
   std::int64_t seconds = 60;
@@ -42,7 +42,7 @@
   std::uint64_t interactiveInTime = 0;
   std::uint64_t batchRequests = 0;
   std::uint64_t batchInTime = 0;
-  std::uint64_t recomputedTokens = 0; // prefix tokens computed again
+  std::uint64_t recomputedTokens = 0; // prefix tokens that were not cached
 
   [[nodiscard]] double InteractiveQuantile(double aShare) const;
   [[nodiscard]] double SmallTeamQuantile(double aShare) const;
@@ -79,7 +79,7 @@
   {
     std::uint64_t running = 0;
     std::list<JobPtr> waiting;
-    std::list<std::uint64_t> cachedPrefixes; // prefixes, the last used first
+    std::list<std::uint64_t> cachedPrefixes; // most recently used first
     double slowness = 1;
   };
   struct FakeDaemon
