--- a/src/coord/DutyLog.h
+++ b/src/coord/DutyLog.h
@@ -26,8 +26,8 @@
 
 /**
  * Applies the records in their order, so that every daemon gets the same state.
- * A decision is valid only while its claim is the latest one. Each record is
- * appended on the condition that no other was appended in between, so a
+ * A decision is valid only while its claim is the latest one. A record is
+ * appended only if no other was appended since its writer last read, so a
  * superseded holder cannot append a decision.
  *
  * The store retains records for some seconds only, and a claim may be older
--- a/src/coord/Rollouts.h
+++ b/src/coord/Rollouts.h
@@ -36,7 +36,7 @@
   TimePoint started; // when this daemon read it
   RolloutPhase phase = RolloutPhase::eActive;
   std::optional<RolloutReadiness> readiness; // nullopt: not known yet
-  TimePoint readySince; // when CanServeAll last became true
+  TimePoint readySince; // start, or when CanServeAll last became true
 
   /** Whether the new version can serve all traffic; assumed to be so while
    * nothing is known. */
--- a/src/coord/WorkTable.h
+++ b/src/coord/WorkTable.h
@@ -41,7 +41,8 @@
 public:
   explicit WorkTable(WriterId aWriter);
 
-  /** Applies a batch of the log; a repeated batch has no effect. */
+  /** Applies a batch of the log; the records of a repeated batch are ignored.
+   */
   void Apply(std::uint64_t aOffset, const records::Batch& aBatch);
 
   /** Returns null when the work is unknown or no longer retained. */
