--- a/src/daemon/AdmissionController.cpp
+++ b/src/daemon/AdmissionController.cpp
@@ -17,58 +17,58 @@
 AdmissionController::VersionQueue&
 AdmissionController::QueueOf(Queues& aQueues, const QueueKey& aKey)
 {
-  const auto [line, fresh] = aQueues.byVersion.try_emplace(aKey);
-  if (fresh) {
+  const auto [versionQueue, inserted] = aQueues.byVersion.try_emplace(aKey);
+  if (inserted) {
     for (const auto& [team, weight] : aQueues.weights) {
-      line->second.queue.SetWeight(team, weight);
-      line->second.budget.SetWeight(team, weight);
+      versionQueue->second.queue.SetWeight(team, weight);
+      versionQueue->second.budget.SetWeight(team, weight);
     }
-    // Without this the first requests would share one place until the next
-    // regular update.
-    this->UpdateBudget(aQueues, aKey, line->second);
+    // A new budget has one slot. Without an update here, the first requests
+    // would share that slot until the next periodic update.
+    this->UpdateBudget(aQueues, aKey, versionQueue->second);
   }
-  return line->second;
+  return versionQueue->second;
 }
 
 void
 AdmissionController::UpdateBudget(const Queues& aQueues,
                                   const QueueKey& aKey,
-                                  VersionQueue& aLine)
+                                  VersionQueue& aVersionQueue)
 {
-  const TimePoint at = this->now();
-  const Router::VersionCapacity supply =
+  const TimePoint time = this->now();
+  const Router::VersionCapacity capacity =
     this->router.WithLock([&](Router& aRouter) {
-      return aRouter.CapacityOf(aKey.first, aKey.second, at);
+      return aRouter.CapacityOf(aKey.first, aKey.second, time);
     });
-  aLine.budget.Update(
-    supply.slots, supply.waiting, static_cast<double>(aQueues.daemonCount));
+  aVersionQueue.budget.Update(
+    capacity.slots, capacity.waiting, static_cast<double>(aQueues.daemonCount));
 }
 
 std::optional<EngineSlot>
-AdmissionController::TryAcquireSlot(VersionQueue& aLine,
+AdmissionController::TryAcquireSlot(VersionQueue& aVersionQueue,
                                     RouteRequest aRequest,
                                     const QueueItem& aItem)
 {
-  SlotBudget& budget = aLine.budget;
+  SlotBudget& budget = aVersionQueue.budget;
   if (!budget.CanStart(aItem.team, aItem.latencyClass)) {
     return std::nullopt;
   }
   aRequest.reservedSlots = budget.ReservedSlots(aItem.team, aItem.latencyClass);
-  const TimePoint at = this->now();
+  const TimePoint time = this->now();
   auto choice = this->router.WithLock(
-    [&](Router& aRouter) { return aRouter.Pick(aRequest, at); });
+    [&](Router& aRouter) { return aRouter.Pick(aRequest, time); });
   if (!choice) {
     return std::nullopt;
   }
-  EngineSlot place;
-  place.choice = std::move(*choice);
-  place.priority = budget.PriorityOf(aItem.team, aItem.latencyClass);
-  place.service = aRequest.service;
-  place.version = aRequest.version;
-  place.team = aItem.team;
-  place.latencyClass = aItem.latencyClass;
+  EngineSlot slot;
+  slot.choice = std::move(*choice);
+  slot.priority = budget.PriorityOf(aItem.team, aItem.latencyClass);
+  slot.service = aRequest.service;
+  slot.version = aRequest.version;
+  slot.team = aItem.team;
+  slot.latencyClass = aItem.latencyClass;
   budget.RecordStart(aItem.team, aItem.latencyClass);
-  return place;
+  return slot;
 }
 
 void
@@ -76,9 +76,9 @@
 {
   this->queues.WithLock([&](Queues& aQueues) {
     aQueues.weights[aTeam] = aWeight;
-    for (auto& [key, line] : aQueues.byVersion) {
-      line.queue.SetWeight(aTeam, aWeight);
-      line.budget.SetWeight(aTeam, aWeight);
+    for (auto& [key, versionQueue] : aQueues.byVersion) {
+      versionQueue.queue.SetWeight(aTeam, aWeight);
+      versionQueue.budget.SetWeight(aTeam, aWeight);
     }
   });
 }
@@ -94,27 +94,27 @@
 AdmissionController::QueueStatuses()
 {
   return this->queues.WithLock([](Queues& aQueues) {
-    std::vector<QueueStatus> views;
-    for (auto& [key, line] : aQueues.byVersion) {
-      views.push_back(QueueStatus{ key.first,
-                                   key.second,
-                                   line.queue.Size(),
-                                   line.budget.InFlight(),
-                                   line.budget.SlotLimit() });
+    std::vector<QueueStatus> statuses;
+    for (auto& [key, versionQueue] : aQueues.byVersion) {
+      statuses.push_back(QueueStatus{ key.first,
+                                      key.second,
+                                      versionQueue.queue.Size(),
+                                      versionQueue.budget.InFlight(),
+                                      versionQueue.budget.SlotLimit() });
     }
-    return views;
+    return statuses;
   });
 }
 
 void
-AdmissionController::DispatchFrom(Queues& aQueues, VersionQueue& aLine)
+AdmissionController::DispatchFrom(Queues& aQueues, VersionQueue& aVersionQueue)
 {
   const auto start = [&](const QueueItem& aItem) {
     Waiter& waiter = aQueues.waiters.at(aItem.ticket);
-    waiter.slot = this->TryAcquireSlot(aLine, waiter.request, aItem);
+    waiter.slot = this->TryAcquireSlot(aVersionQueue, waiter.request, aItem);
     return waiter.slot.has_value();
   };
-  while (const auto item = aLine.queue.PopIf(this->now(), start)) {
+  while (const auto item = aVersionQueue.queue.PopIf(this->now(), start)) {
     const Waiter& waiter = aQueues.waiters.at(item->ticket);
     net::post(waiter.worker->context,
               [timer = waiter.timer] { timer->cancel(); });
@@ -125,30 +125,31 @@
 AdmissionController::DispatchQueued()
 {
   this->queues.WithLock([&](Queues& aQueues) {
-    for (auto& [key, line] : aQueues.byVersion) {
-      this->DispatchFrom(aQueues, line);
+    for (auto& [key, versionQueue] : aQueues.byVersion) {
+      this->DispatchFrom(aQueues, versionQueue);
     }
   });
 }
 
 void
-AdmissionController::Release(const EngineSlot& aPlace)
+AdmissionController::Release(const EngineSlot& aSlot)
 {
   this->queues.WithLock([&](Queues& aQueues) {
-    VersionQueue& line = QueueOf(aQueues, { aPlace.service, aPlace.version });
-    line.budget.RecordEnd(aPlace.team, aPlace.latencyClass);
-    this->DispatchFrom(aQueues, line);
+    VersionQueue& versionQueue =
+      QueueOf(aQueues, { aSlot.service, aSlot.version });
+    versionQueue.budget.RecordEnd(aSlot.team, aSlot.latencyClass);
+    this->DispatchFrom(aQueues, versionQueue);
   });
 }
 
 void
-AdmissionController::UpdateCapacity(std::size_t aDaemons)
+AdmissionController::UpdateCapacity(std::size_t aDaemonCount)
 {
   this->queues.WithLock([&](Queues& aQueues) {
-    aQueues.daemonCount = aDaemons;
-    for (auto& [key, line] : aQueues.byVersion) {
-      this->UpdateBudget(aQueues, key, line);
-      this->DispatchFrom(aQueues, line);
+    aQueues.daemonCount = aDaemonCount;
+    for (auto& [key, versionQueue] : aQueues.byVersion) {
+      this->UpdateBudget(aQueues, key, versionQueue);
+      this->DispatchFrom(aQueues, versionQueue);
     }
   });
 }
@@ -161,46 +162,46 @@
   auto timer = std::make_shared<net::steady_timer>(aWorker.context);
   timer->expires_after(std::max(Millis(0), aItem.deadline - this->now()));
   const QueueKey key{ aRequest.service, aRequest.version };
-  std::optional<EngineSlot> atOnce;
+  std::optional<EngineSlot> immediate;
   std::uint64_t ticket = 0;
   const bool queued = this->queues.WithLock([&](Queues& aQueues) {
-    VersionQueue& line = QueueOf(aQueues, key);
-    if (line.queue.Size() == 0) {
-      atOnce = this->TryAcquireSlot(line, aRequest, aItem);
+    VersionQueue& versionQueue = QueueOf(aQueues, key);
+    if (versionQueue.queue.Size() == 0) {
+      immediate = this->TryAcquireSlot(versionQueue, aRequest, aItem);
     }
-    if (atOnce) {
+    if (immediate) {
       return true;
     }
     ticket = ++aQueues.lastTicket;
     aItem.ticket = ticket;
     aQueues.waiters[ticket] = Waiter{ aRequest, &aWorker, timer, {} };
-    if (!line.queue.Push(aItem)) {
+    if (!versionQueue.queue.Push(aItem)) {
       aQueues.waiters.erase(ticket);
       return false;
     }
-    this->DispatchFrom(aQueues, line);
+    this->DispatchFrom(aQueues, versionQueue);
     return true;
   });
-  if (atOnce) {
-    co_return std::move(*atOnce);
+  if (immediate) {
+    co_return std::move(*immediate);
   }
   if (!queued) {
     co_return tl::unexpected<AdmissionError>(AdmissionError::eQueueFull);
   }
-  boost::system::error_code woken;
-  co_await timer->async_wait(net::redirect_error(net::use_awaitable, woken));
-  auto place = this->queues.WithLock([&](Queues& aQueues) {
-    auto taken = std::move(aQueues.waiters.at(ticket).slot);
-    if (!taken) {
+  boost::system::error_code error;
+  co_await timer->async_wait(net::redirect_error(net::use_awaitable, error));
+  auto slot = this->queues.WithLock([&](Queues& aQueues) {
+    auto acquired = std::move(aQueues.waiters.at(ticket).slot);
+    if (!acquired) {
       aQueues.byVersion[key].queue.Cancel(ticket);
     }
     aQueues.waiters.erase(ticket);
-    return taken;
+    return acquired;
   });
-  if (!place) {
+  if (!slot) {
     co_return tl::unexpected<AdmissionError>(AdmissionError::eDeadlineExceeded);
   }
-  co_return std::move(*place);
+  co_return std::move(*slot);
 }
 
 } // namespace toucanshed
--- a/src/daemon/AdmissionController.h
+++ b/src/daemon/AdmissionController.h
@@ -1,5 +1,5 @@
 /** \file
- * Lets model requests through to engines as places become free.
+ * Admission control: starts model requests on engines as slots become free.
  */
 #pragma once
 
@@ -20,15 +20,16 @@
 
 using SharedRouter = Guarded<Router, LockRank::eRouter>;
 
-/** Why a request did not get a place. */
+/** Why a request did not get a slot. */
 enum class AdmissionError
 {
-  eNoBackend,        // nothing serves the version at all
-  eQueueFull,        // the team's queue is at its bound
-  eDeadlineExceeded, // no place in the time there was
+  eNoBackend,        // no back end serves the version
+  eQueueFull,        // the team's queue is full
+  eDeadlineExceeded, // no slot became free before the deadline
 };
 
-/** A place taken through the gate; given back through Gate::Leave. */
+/** A slot acquired with AdmissionController::Admit. The holder gives it back
+ * with AdmissionController::Release. */
 struct EngineSlot
 {
   EngineChoice choice;
@@ -40,12 +41,13 @@
 };
 
 /**
- * One queue a service and version, so that a full canary holds up nobody
- * else. A request that gives up or times out before it has a place has sent
- * nothing, so its refusal may say "not run".
+ * Keeps one queue for each service and version, so that a canary at its
+ * capacity does not delay requests of other versions. A request that is
+ * cancelled or times out before it has a slot has sent nothing, so its
+ * rejection may say "not run".
  *
- * Thread safety: all methods may be called from any thread; Enter on the given
- * worker. Takes its own lock, then the router's.
+ * Thread safety: all methods may be called from any thread, except Admit,
+ * which runs on the given worker. Acquires its own lock, then the router's.
  */
 class AdmissionController
 {
@@ -54,20 +56,20 @@
 
   AdmissionController(SharedRouter& aRouter, Clock aNow);
 
-  /** Waits for a place. The item's deadline bounds the wait. */
+  /** Waits for a slot, at most until the item's deadline. */
   Task<tl::expected<EngineSlot, AdmissionError>> Admit(Worker& aWorker,
                                                        RouteRequest aRequest,
                                                        QueueItem aItem);
-  /** Gives a place back and hands it to one who waits. Precondition: the
-   * router has been told that the request ended. */
-  void Release(const EngineSlot& aPlace);
-  /** Hands free places to those who wait. */
+  /** Releases a slot and starts a waiting request on it. Precondition: the end
+   * of the request is recorded at the router. */
+  void Release(const EngineSlot& aSlot);
+  /** Starts waiting requests on free slots. */
   void DispatchQueued();
-  /** Takes in what the engines now have and report.
-   *  \param aDaemons how many daemons share them. */
-  void UpdateCapacity(std::size_t aDaemons);
+  /** Updates the slot budgets from the capacity that the engines report.
+   *  \param aDaemonCount number of daemons that share the engines. */
+  void UpdateCapacity(std::size_t aDaemonCount);
   void SetWeight(const TeamId& aTeam, double aWeight);
-  /** One version's line, for operators. */
+  /** The state of one version's queue, for operators. */
   struct QueueStatus
   {
     ServiceId service;
@@ -77,7 +79,7 @@
     double slots = 0;
   };
   std::vector<QueueStatus> QueueStatuses();
-  /** Requests waiting now. */
+  /** Number of requests that wait now, over all versions. */
   std::size_t WaitingCount();
 
 private:
@@ -106,12 +108,12 @@
   VersionQueue& QueueOf(Queues& aQueues, const QueueKey& aKey);
   void UpdateBudget(const Queues& aQueues,
                     const QueueKey& aKey,
-                    VersionQueue& aLine);
-  /** Takes a place if the budget and an engine allow it now. */
-  std::optional<EngineSlot> TryAcquireSlot(VersionQueue& aLine,
+                    VersionQueue& aVersionQueue);
+  /** Acquires a slot if the budget and an engine have one free now. */
+  std::optional<EngineSlot> TryAcquireSlot(VersionQueue& aVersionQueue,
                                            RouteRequest aRequest,
                                            const QueueItem& aItem);
-  void DispatchFrom(Queues& aQueues, VersionQueue& aLine);
+  void DispatchFrom(Queues& aQueues, VersionQueue& aVersionQueue);
 
   SharedRouter& router;
   Clock now;
--- a/src/daemon/BackendWatcher.cpp
+++ b/src/daemon/BackendWatcher.cpp
@@ -17,46 +17,48 @@
 constexpr Millis kLeavingFactRetention{ 600000 };
 constexpr std::string_view kLeavingPrefix = "leaving/";
 
-/** What the watcher keeps between looks; it belongs to its worker. */
+/** State of the watcher between two reads of the list. Thread safety: none;
+ * belongs to its worker. */
 struct WatcherState
 {
   std::set<InstanceId>
-    pendingReports; // back ends whose report is being asked for
+    pendingReports; // back ends with a report request in flight
   LeavingIncarnations leavingIncarnations;
 };
 
 void
 RecordLeaving(DaemonState& aState, const EngineReport& aReport)
 {
-  const std::string life = IncarnationKeyOf(aReport);
-  const bool news = aState.router.WithLock(
-    [&](Router& aRouter) { return aRouter.MarkLeaving(life); });
-  aState.PublishFact(
-    FactEntry{ LeavingFact(life), aState.Now() + kLeavingFactRetention });
-  if (news) {
+  const std::string incarnationKey = IncarnationKeyOf(aReport);
+  const bool changed = aState.router.WithLock(
+    [&](Router& aRouter) { return aRouter.MarkLeaving(incarnationKey); });
+  aState.PublishFact(FactEntry{ LeavingFact(incarnationKey),
+                                aState.Now() + kLeavingFactRetention });
+  if (changed) {
     ++aState.leavingChanges;
-    aState.events.Emit(Event("engine.leaving").With("engine", life));
+    aState.events.Emit(Event("engine.leaving").With("engine", incarnationKey));
   }
 }
 
 Task<void>
 RefreshBackend(DaemonState& aState,
                Worker& aWorker,
-               EngineReport aKnown,
-               std::shared_ptr<WatcherState> aWatched)
+               EngineReport aBackend,
+               std::shared_ptr<WatcherState> aWatcher)
 {
-  const EngineReport listed = aKnown;
-  // What the list says of leaving is weighed below, by life.
-  aKnown.leaving = false;
-  auto report = co_await FetchEngineReport(aWorker, aKnown, kReportTimeout);
-  aWatched->pendingReports.erase(aKnown.id);
+  const EngineReport listed = aBackend;
+  // The list's "leaving" mark is evaluated below, for one incarnation.
+  aBackend.leaving = false;
+  auto report = co_await FetchEngineReport(aWorker, aBackend, kReportTimeout);
+  aWatcher->pendingReports.erase(aBackend.id);
   if (!report) {
     co_return;
   }
-  // Kept apart, so that the router's answer tells whether leaving is news.
-  const bool byList = aWatched->leavingIncarnations.IsLeaving(
+  // Upsert gets the report without the mark, so that MarkLeaving returns
+  // whether the router did not have this engine as leaving yet.
+  const bool listedAsLeaving = aWatcher->leavingIncarnations.IsLeaving(
     listed.id, IncarnationKeyOf(*report), listed.leaving);
-  const bool leaving = std::exchange(report->leaving, false) || byList;
+  const bool leaving = std::exchange(report->leaving, false) || listedAsLeaving;
   aState.router.WithLock([&](Router& aRouter) { aRouter.Upsert(*report); });
   if (leaving || aState.HasFact(LeavingFact(IncarnationKeyOf(*report)))) {
     RecordLeaving(aState, *report);
@@ -68,19 +70,19 @@
 ApplyInstanceList(DaemonState& aState,
                   Worker& aWorker,
                   const InstanceList& aList,
-                  const std::shared_ptr<WatcherState>& aWatched)
+                  const std::shared_ptr<WatcherState>& aWatcher)
 {
   std::set<InstanceId> listed;
   for (const EngineReport& backend : aList.backends) {
     listed.insert(backend.id);
-    if (aWatched->pendingReports.insert(backend.id).second) {
-      aWorker.Spawn(RefreshBackend(aState, aWorker, backend, aWatched));
+    if (aWatcher->pendingReports.insert(backend.id).second) {
+      aWorker.Spawn(RefreshBackend(aState, aWorker, backend, aWatcher));
     }
   }
   aState.router.WithLock([&](Router& aRouter) {
-    for (const EngineReport& known : aRouter.Reports()) {
-      if (listed.count(known.id) == 0) {
-        aRouter.Remove(known.id);
+    for (const EngineReport& report : aRouter.Reports()) {
+      if (listed.count(report.id) == 0) {
+        aRouter.Remove(report.id);
       }
     }
   });
@@ -95,33 +97,36 @@
 ApplyFactsToRouter(DaemonState& aState)
 {
   std::vector<FactEntry> leaving;
-  aState.factTables.WithLock([&](FactTables& aCaution) {
-    leaving = aCaution.facts.WithPrefix(kLeavingPrefix);
+  aState.factTables.WithLock([&](FactTables& aTables) {
+    leaving = aTables.facts.WithPrefix(kLeavingPrefix);
   });
-  const bool news = aState.router.WithLock([&](Router& aRouter) {
-    bool any = false;
+  const bool changed = aState.router.WithLock([&](Router& aRouter) {
+    bool anyChanged = false;
     for (const FactEntry& fact : leaving) {
-      any = aRouter.MarkLeaving(fact.key.substr(kLeavingPrefix.size())) || any;
+      anyChanged =
+        aRouter.MarkLeaving(fact.key.substr(kLeavingPrefix.size())) ||
+        anyChanged;
     }
-    return any;
+    return anyChanged;
   });
-  aState.leavingChanges += news ? 1 : 0;
+  aState.leavingChanges += changed ? 1 : 0;
   ApplyReservations(aState);
 }
 
 Task<void>
 WatchBackends(DaemonState& aState, Worker& aWorker)
 {
-  auto watched = std::make_shared<WatcherState>();
-  InstanceList newest;
+  auto watcher = std::make_shared<WatcherState>();
+  InstanceList latest;
   while (true) {
     auto list =
       co_await FetchInstanceList(aWorker, aState.settings.instancesEndpoint);
     if (list) {
-      newest = std::move(*list);
+      latest = std::move(*list);
     }
-    // While the list is silent the back ends it named last are still asked.
-    ApplyInstanceList(aState, aWorker, newest, watched);
+    // While the list is unreachable, the back ends of the latest list are
+    // still queried.
+    ApplyInstanceList(aState, aWorker, latest, watcher);
     const std::size_t daemons = aState.membership.WithLock(
       [](Membership& aMembers) { return aMembers.EligibleOwners().size(); });
     aState.router.WithLock(
--- a/src/daemon/BackendWatcher.h
+++ b/src/daemon/BackendWatcher.h
@@ -1,6 +1,6 @@
 /** \file
- * Keeps the router's view of back ends: the platform's list for which there
- * are, their own reports for how they are.
+ * Keeps the router's back ends up to date. The platform's list says which back
+ * ends exist; their own reports give their state.
  */
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace toucanshed {
 
-/** Watches for ever. Precondition: spawned once. */
+/** Updates the router in an endless loop. Precondition: spawned once. */
 Task<void>
 WatchBackends(DaemonState& aState, Worker& aWorker);
 
-/** Takes facts about leaving back ends and reservations to the router.
+/** Applies facts about leaving back ends and reservations to the router.
  * Thread safety: any thread. */
 void
 ApplyFactsToRouter(DaemonState& aState);
--- a/src/daemon/CallerApi.cpp
+++ b/src/daemon/CallerApi.cpp
@@ -25,7 +25,7 @@
 constexpr Millis kDefaultDeadline{ 20000 };
 constexpr Millis kMaxDeadline{ 600000 };
 
-/** What every request has once its team is known. */
+/** Data of a request whose team is authenticated. */
 struct CallerContext
 {
   RequestId id;
@@ -52,12 +52,12 @@
 AuthenticateTeam(const DaemonState& aState, const HttpRequest& aRequest)
 {
   constexpr std::string_view kScheme = "Bearer ";
-  const std::string given = HeaderOf(aRequest, "Authorization");
-  if (!given.starts_with(kScheme)) {
+  const std::string header = HeaderOf(aRequest, "Authorization");
+  if (!header.starts_with(kScheme)) {
     return std::nullopt;
   }
   const auto found = aState.settings.teamsByTokenHash.find(
-    Sha256Hex(std::string_view(given).substr(kScheme.size())));
+    Sha256Hex(std::string_view(header).substr(kScheme.size())));
   if (found == aState.settings.teamsByTokenHash.end()) {
     return std::nullopt;
   }
@@ -67,18 +67,18 @@
 tl::expected<TimePoint, ValidationError>
 ParseDeadline(const HttpRequest& aRequest, TimePoint aNow)
 {
-  const std::string given = HeaderOf(aRequest, "Toucanshed-Deadline-Ms");
-  if (given.empty()) {
+  const std::string header = HeaderOf(aRequest, "Toucanshed-Deadline-Ms");
+  if (header.empty()) {
     return aNow + kDefaultDeadline;
   }
   std::int64_t ms = 0;
-  const char* end = given.data() + given.size();
-  const auto parsed = std::from_chars(given.data(), end, ms);
+  const char* end = header.data() + header.size();
+  const auto parsed = std::from_chars(header.data(), end, ms);
   if (parsed.ec != std::errc{} || parsed.ptr != end || ms < 1 ||
       ms > kMaxDeadline.count()) {
     return tl::unexpected<ValidationError>(
       ValidationError{ "Toucanshed-Deadline-Ms",
-                       "\"" + given + "\"",
+                       "\"" + header + "\"",
                        "milliseconds from 1 to 600000" });
   }
   return aNow + Millis(ms);
@@ -95,7 +95,7 @@
     });
 }
 
-/** Tells events and metrics how a request ended. */
+/** Records in events and metrics how a request ended. */
 void
 RecordOutcome(DaemonState& aState,
               const CallerContext& aCaller,
@@ -110,16 +110,16 @@
                          aOutcome + "\"");
 }
 
-/** Sends an answer with the request's id. */
+/** Sends a response with the request's id. */
 Task<void>
 SendResponse(DaemonState& aState,
              const CallerContext& aCaller,
-             HttpResponse aReply,
+             HttpResponse aResponse,
              HttpResponder& aResponder)
 {
-  RecordOutcome(aState, aCaller, HeaderOf(aReply, kOutcomeHeader));
-  aReply.set(kRequestIdHeader, aCaller.id.value);
-  co_await aResponder.Send(std::move(aReply));
+  RecordOutcome(aState, aCaller, HeaderOf(aResponse, kOutcomeHeader));
+  aResponse.set(kRequestIdHeader, aCaller.id.value);
+  co_await aResponder.Send(std::move(aResponse));
 }
 
 Task<void>
@@ -127,36 +127,36 @@
                 Worker& aWorker,
                 CallerContext aCaller,
                 ModelRequest aRequest,
-                std::optional<ResumePoint> aResume,
+                std::optional<ResumePoint> aResumePoint,
                 HttpResponder& aResponder)
 {
-  std::optional<HandedOverStream> handed;
-  if (aResume) {
-    const RequestId earlier{ aResume->request };
-    handed = co_await FindHandedOverStream(aState, aWorker, earlier);
+  std::optional<HandedOverStream> handedOver;
+  if (aResumePoint) {
+    const RequestId earlier{ aResumePoint->request };
+    handedOver = co_await FindHandedOverStream(aState, aWorker, earlier);
   }
-  CallerStream writer(aRequest, std::move(aResume), aResponder);
+  CallerStream writer(aRequest, std::move(aResumePoint), aResponder);
   ModelCall call(
     aState, aWorker, aRequest, [&writer](const std::string& aToken) {
       return writer.WriteToken(aToken);
     });
   call.AllowHandover();
-  if (handed && co_await writer.ReplayTokens(handed->tokens)) {
-    call.ResumeFrom(handed->tokens);
+  if (handedOver && co_await writer.ReplayTokens(handedOver->tokens)) {
+    call.ResumeFrom(handedOver->tokens);
   }
-  RequestResult end = co_await call.Run();
+  RequestResult result = co_await call.Run();
   if (writer.HasMismatch()) {
-    end.outcome = RequestOutcome::eMayHaveRun;
-    end.reason = "the answer cannot be resumed: its beginning came out "
-                 "differently; ask again without Last-Event-ID";
+    result.outcome = RequestOutcome::eMayHaveRun;
+    result.reason = "the answer cannot be resumed: its beginning came out "
+                    "differently; ask again without Last-Event-ID";
   }
   const bool nothingSent = !aResponder.Started();
-  if (nothingSent && end.outcome != RequestOutcome::eCompleted) {
-    co_await SendResponse(aState, aCaller, FailureResponse(end), aResponder);
+  if (nothingSent && result.outcome != RequestOutcome::eCompleted) {
+    co_await SendResponse(aState, aCaller, FailureResponse(result), aResponder);
     co_return;
   }
-  RecordOutcome(aState, aCaller, ToText(end.outcome));
-  co_await writer.End(end);
+  RecordOutcome(aState, aCaller, ToText(result.outcome));
+  co_await writer.End(result);
 }
 
 Task<void>
@@ -167,20 +167,20 @@
                HttpResponder& aResponder)
 {
   ModelCall call(aState, aWorker, aRequest, &AcceptToken);
-  const RequestResult end = co_await call.Run();
-  if (end.outcome != RequestOutcome::eCompleted) {
-    co_await SendResponse(aState, aCaller, FailureResponse(end), aResponder);
+  const RequestResult result = co_await call.Run();
+  if (result.outcome != RequestOutcome::eCompleted) {
+    co_await SendResponse(aState, aCaller, FailureResponse(result), aResponder);
     co_return;
   }
-  HttpResponse reply =
+  HttpResponse response =
     MakeResponse(200,
                  CompletionJson(aCaller.id.value,
                                 aRequest.service.value,
                                 aRequest.route,
                                 call.Response().Text(),
                                 call.Response().TokenCount()));
-  reply.set(kOutcomeHeader, ToText(end.outcome));
-  co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
+  response.set(kOutcomeHeader, ToText(result.outcome));
+  co_await SendResponse(aState, aCaller, std::move(response), aResponder);
 }
 
 Task<void>
@@ -200,18 +200,18 @@
   const ServiceId service{ body->model };
   const auto entry = FindServiceEntry(aState, service);
   if (!entry || entry->document.kind() != config::MODEL) {
-    const ValidationError complaint{ "model",
-                                     "\"" + body->model + "\"",
-                                     "a model service that is configured" };
+    const ValidationError error{ "model",
+                                 "\"" + body->model + "\"",
+                                 "a model service that is configured" };
     co_await SendResponse(
-      aState, aCaller, ClientErrorResponse(404, complaint), aResponder);
+      aState, aCaller, ClientErrorResponse(404, error), aResponder);
     co_return;
   }
   const std::string route = chat ? "chat" : "completions";
   if (HeaderOf(aRequest, "Prefer") == "respond-async") {
-    HttpResponse reply = co_await AcceptWork(
+    HttpResponse response = co_await AcceptWork(
       aState, aWorker, aCaller.team, service, route, aRequest.body());
-    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
+    co_await SendResponse(aState, aCaller, std::move(response), aResponder);
     co_return;
   }
   ModelRequest request;
@@ -231,12 +231,12 @@
       aState, aWorker, aCaller, std::move(request), aResponder);
     co_return;
   }
-  auto resume = ParseEventId(HeaderOf(aRequest, "Last-Event-ID"));
+  auto resumePoint = ParseEventId(HeaderOf(aRequest, "Last-Event-ID"));
   co_await HandleStreaming(aState,
                            aWorker,
                            aCaller,
                            std::move(request),
-                           std::move(resume),
+                           std::move(resumePoint),
                            aResponder);
 }
 
@@ -245,9 +245,9 @@
 {
   const config::Route* longest = nullptr;
   for (const config::Route& route : aDocument.routes()) {
-    const bool longer =
+    const bool isLonger =
       longest == nullptr || route.prefix().size() > longest->prefix().size();
-    if (aPath.starts_with(route.prefix()) && longer) {
+    if (aPath.starts_with(route.prefix()) && isLonger) {
       longest = &route;
     }
   }
@@ -255,19 +255,20 @@
 }
 
 HttpResponse
-MakePlainResponse(const PlainCallResult& aEnd)
+MakePlainResponse(const PlainCallResult& aResult)
 {
-  if (aEnd.callerError) {
+  if (aResult.callerError) {
     constexpr unsigned kUnprocessable = 422;
-    return ClientErrorResponse(kUnprocessable, *aEnd.callerError);
+    return ClientErrorResponse(kUnprocessable, *aResult.callerError);
   }
-  if (aEnd.result.outcome != RequestOutcome::eCompleted) {
-    return FailureResponse(aEnd.result);
+  if (aResult.result.outcome != RequestOutcome::eCompleted) {
+    return FailureResponse(aResult.result);
   }
-  HttpResponse reply = MakeResponse(
-    aEnd.response.status, aEnd.response.body, aEnd.response.contentType);
-  reply.set(kOutcomeHeader, ToText(RequestOutcome::eCompleted));
-  return reply;
+  HttpResponse response = MakeResponse(aResult.response.status,
+                                       aResult.response.body,
+                                       aResult.response.contentType);
+  response.set(kOutcomeHeader, ToText(RequestOutcome::eCompleted));
+  return response;
 }
 
 Task<HttpResponse>
@@ -350,22 +351,22 @@
   }
   if (path.starts_with(kWorkPrefix)) {
     const WorkId work{ std::string(path.substr(kWorkPrefix.size())) };
-    HttpResponse reply = WorkStatusResponse(aState, aCaller.team, work);
-    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
+    HttpResponse response = WorkStatusResponse(aState, aCaller.team, work);
+    co_await SendResponse(aState, aCaller, std::move(response), aResponder);
     co_return;
   }
   if (path.starts_with(kServicePrefix)) {
-    HttpResponse reply =
+    HttpResponse response =
       co_await HandlePlainRequest(aState, aWorker, aCaller, aRequest);
-    co_await SendResponse(aState, aCaller, std::move(reply), aResponder);
+    co_await SendResponse(aState, aCaller, std::move(response), aResponder);
     co_return;
   }
-  const ValidationError complaint{ "path",
-                                   "\"" + std::string(path) + "\"",
-                                   "/v1/chat/completions, /v1/completions, "
-                                   "/v1/accepted/ID or /svc/SERVICE/..." };
+  const ValidationError error{ "path",
+                               "\"" + std::string(path) + "\"",
+                               "/v1/chat/completions, /v1/completions, "
+                               "/v1/accepted/ID or /svc/SERVICE/..." };
   co_await SendResponse(
-    aState, aCaller, ClientErrorResponse(404, complaint), aResponder);
+    aState, aCaller, ClientErrorResponse(404, error), aResponder);
 }
 
 } // namespace
@@ -382,11 +383,11 @@
   caller.arrived = aState.Now();
   const auto team = AuthenticateTeam(aState, aRequest);
   if (!team) {
-    const ValidationError complaint{ "Authorization",
-                                     "no token that is known",
-                                     "Bearer TOKEN of a team" };
+    const ValidationError error{ "Authorization",
+                                 "no token that is known",
+                                 "Bearer TOKEN of a team" };
     co_await SendResponse(
-      aState, caller, ClientErrorResponse(401, complaint), aResponder);
+      aState, caller, ClientErrorResponse(401, error), aResponder);
     co_return;
   }
   caller.team = *team;
--- a/src/daemon/CallerApi.h
+++ b/src/daemon/CallerApi.h
@@ -1,5 +1,5 @@
 /** \file
- * The callers' port: chat and completions, work for later, plain services.
+ * The callers' port: chat and completions, accepted work, plain services.
  */
 #pragma once
 
@@ -10,9 +10,9 @@
 namespace toucanshed {
 
 /**
- * Answers one request of a caller. Every answer names the request and its
- * outcome; a refusal comes at once, says "not run" only when that is true,
- * and says when to come back.
+ * Handles one request of a caller. Every response has the request's id and its
+ * outcome. A rejection is sent without delay, says "not run" only if no back
+ * end has run any of the request, and says when to retry.
  *
  * Thread safety: may be called on any worker.
  */
--- a/src/daemon/CallerRequest.cpp
+++ b/src/daemon/CallerRequest.cpp
@@ -23,9 +23,10 @@
 std::string
 PreviewOf(const json::value* aValue)
 {
-  constexpr std::size_t kMostShown = 80;
-  return aValue == nullptr ? "nothing"
-                           : json::serialize(*aValue).substr(0, kMostShown);
+  constexpr std::size_t kMaxPreviewBytes = 80;
+  return aValue == nullptr
+           ? "nothing"
+           : json::serialize(*aValue).substr(0, kMaxPreviewBytes);
 }
 
 tl::expected<std::string, ValidationError>
--- a/src/daemon/CallerRequest.h
+++ b/src/daemon/CallerRequest.h
@@ -22,28 +22,31 @@
   bool stream = false;
 };
 
-/** Where a caller's stream broke off, from its Last-Event-ID. */
+/** The position at which a caller's stream was interrupted, from its
+ * Last-Event-ID. */
 struct ResumePoint
 {
   std::string request;
-  std::uint64_t tokenCount = 0; // tokens the caller has
-  std::uint64_t tokenHash = 0;  // over these tokens
+  std::uint64_t tokenCount = 0; // tokens the caller has received
+  std::uint64_t tokenHash = 0;  // hash over these tokens
 };
 
-/** Parses a body; \param aChat whether `messages` or `prompt` is expected.
+/** Parses a body.
+ * \param aChat true if `messages` is expected, false for `prompt`.
  * Thread safety: pure function. */
 tl::expected<ModelRequestBody, ValidationError>
 ParseModelRequestBody(std::string_view aBody, bool aChat);
 
-/** "REQUEST:COUNT:HASH", the id of a stream's event. */
+/** Formats the id of a stream's event: "REQUEST:COUNT:HASH". */
 std::string
 FormatEventId(const ResumePoint& aPoint);
 
-/** Parses an event id; nothing when it is none of ours. */
+/** Parses an event id; std::nullopt if it does not have the format of
+ * FormatEventId. */
 std::optional<ResumePoint>
 ParseEventId(std::string_view aText);
 
-/** Most tokens a request may ask for. */
+/** Upper limit of max_tokens in a request. */
 constexpr std::uint64_t kMaxTokens = 32768;
 
 } // namespace toucanshed
--- a/src/daemon/CallerResponses.cpp
+++ b/src/daemon/CallerResponses.cpp
@@ -40,37 +40,38 @@
 HttpResponse
 ClientErrorResponse(unsigned aStatus, const std::string& aMessage)
 {
-  HttpResponse reply =
+  HttpResponse response =
     MakeResponse(aStatus, ErrorJson("invalid_request_error", aMessage));
-  reply.set(kOutcomeHeader, ToText(RequestOutcome::eNotRun));
-  return reply;
+  response.set(kOutcomeHeader, ToText(RequestOutcome::eNotRun));
+  return response;
 }
 
 HttpResponse
-ClientErrorResponse(unsigned aStatus, const ValidationError& aComplaint)
+ClientErrorResponse(unsigned aStatus, const ValidationError& aError)
 {
   return ClientErrorResponse(aStatus,
-                             aComplaint.path + ": given " + aComplaint.given +
-                               ", allowed " + aComplaint.allowed);
+                             aError.path + ": given " + aError.given +
+                               ", allowed " + aError.allowed);
 }
 
 std::string
-FailureJson(const RequestResult& aEnd)
+FailureJson(const RequestResult& aResult)
 {
-  return ErrorJson(ToText(aEnd.outcome), aEnd.reason);
+  return ErrorJson(ToText(aResult.outcome), aResult.reason);
 }
 
 HttpResponse
-FailureResponse(const RequestResult& aEnd)
+FailureResponse(const RequestResult& aResult)
 {
   unsigned status = kBadGateway;
-  if (aEnd.outcome == RequestOutcome::eNotRun) {
-    status = aEnd.teamQueueFull ? kTooManyRequests : kServiceUnavailable;
+  if (aResult.outcome == RequestOutcome::eNotRun) {
+    status = aResult.teamQueueFull ? kTooManyRequests : kServiceUnavailable;
   }
-  HttpResponse reply = MakeResponse(status, FailureJson(aEnd));
-  reply.set(kOutcomeHeader, ToText(aEnd.outcome));
-  reply.set(http::field::retry_after, std::to_string(aEnd.retryAfterSeconds));
-  return reply;
+  HttpResponse response = MakeResponse(status, FailureJson(aResult));
+  response.set(kOutcomeHeader, ToText(aResult.outcome));
+  response.set(http::field::retry_after,
+               std::to_string(aResult.retryAfterSeconds));
+  return response;
 }
 
 } // namespace toucanshed
--- a/src/daemon/CallerResponses.h
+++ b/src/daemon/CallerResponses.h
@@ -1,5 +1,5 @@
 /** \file
- * The answers callers get when their request does not complete.
+ * Responses to callers whose request does not complete.
  */
 #pragma once
 
@@ -11,27 +11,28 @@
 
 namespace toucanshed {
 
-/** Header that says what became of a request. */
+/** Header with the outcome of a request. */
 constexpr const char* kOutcomeHeader = "Toucanshed-Outcome";
-/** Header that names the request. */
+/** Header with the id of the request. */
 constexpr const char* kRequestIdHeader = "Toucanshed-Request";
 
-/** "completed", "not-run" or "may-have-run". */
+/** "completed", "not-run", "may-have-run" or "handed-over". */
 std::string
 ToText(RequestOutcome aOutcome);
 
-/** An answer about the caller's mistake; nothing was run. */
+/** Response to an invalid request. Its outcome is "not-run". */
 HttpResponse
 ClientErrorResponse(unsigned aStatus, const std::string& aMessage);
 HttpResponse
-ClientErrorResponse(unsigned aStatus, const ValidationError& aComplaint);
+ClientErrorResponse(unsigned aStatus, const ValidationError& aError);
 
-/** A refusal or failure, with when to come back. */
+/** Response for a request that was rejected or failed, with the time after
+ * which the caller may retry. */
 HttpResponse
-FailureResponse(const RequestResult& aEnd);
+FailureResponse(const RequestResult& aResult);
 
-/** The same as a JSON object, for a stream that has begun. */
+/** The same error as a JSON object, for a stream that has begun. */
 std::string
-FailureJson(const RequestResult& aEnd);
+FailureJson(const RequestResult& aResult);
 
 } // namespace toucanshed
--- a/src/daemon/CallerStream.cpp
+++ b/src/daemon/CallerStream.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/** One event's data. \param aFinish why the answer ended, null before. */
+/** The data of one event.
+ * \param aFinishReason why the response ended; null while it has not ended. */
 std::string
 ChunkJson(const ModelRequest& aRequest,
           const std::string& aText,
-          const json::value& aFinish)
+          const json::value& aFinishReason)
 {
   const bool chat = aRequest.route == "chat";
-  json::object choice{ { "index", 0 }, { "finish_reason", aFinish } };
+  json::object choice{ { "index", 0 }, { "finish_reason", aFinishReason } };
   if (chat) {
     choice["delta"] = json::object{ { "content", aText } };
   } else {
@@ -50,21 +51,21 @@
   } else {
     choice["text"] = aText;
   }
-  const json::object answer{
+  const json::object completion{
     { "id", aId },
     { "object", chat ? "chat.completion" : "text_completion" },
     { "model", aModel },
     { "choices", json::array{ choice } },
     { "usage", json::object{ { "completion_tokens", aTokens } } }
   };
-  return json::serialize(answer) + "\n";
+  return json::serialize(completion) + "\n";
 }
 
 CallerStream::CallerStream(const ModelRequest& aRequest,
-                           std::optional<ResumePoint> aResume,
+                           std::optional<ResumePoint> aResumePoint,
                            HttpResponder& aResponder)
   : request(aRequest)
-  , resumePoint(std::move(aResume))
+  , resumePoint(std::move(aResumePoint))
   , responder(aResponder)
 {
 }
@@ -110,14 +111,14 @@
 Task<bool>
 CallerStream::ReplayTokens(const std::vector<std::string>& aTokens)
 {
-  std::uint64_t prefix = 0;
+  std::uint64_t prefixHash = 0;
   for (std::size_t i = 0;
        i < aTokens.size() && i < this->resumePoint->tokenCount;
        ++i) {
-    prefix = Hash64(aTokens[i], prefix);
+    prefixHash = Hash64(aTokens[i], prefixHash);
   }
   if (aTokens.size() < this->resumePoint->tokenCount ||
-      prefix != this->resumePoint->tokenHash) {
+      prefixHash != this->resumePoint->tokenHash) {
     co_return false;
   }
   for (const std::string& token : aTokens) {
@@ -127,21 +128,21 @@
 }
 
 Task<void>
-CallerStream::End(const RequestResult& aEnd)
+CallerStream::End(const RequestResult& aResult)
 {
-  if (aEnd.outcome == RequestOutcome::eHandedOver) {
+  if (aResult.outcome == RequestOutcome::eHandedOver) {
     co_return;
   }
-  std::string last =
+  std::string lastEvent =
     "data: " + ChunkJson(this->request, {}, "length") + "\n\ndata: [DONE]\n\n";
-  if (aEnd.outcome != RequestOutcome::eCompleted) {
-    last = "event: error\ndata: " + FailureJson(aEnd) + "\n";
+  if (aResult.outcome != RequestOutcome::eCompleted) {
+    lastEvent = "event: error\ndata: " + FailureJson(aResult) + "\n";
   }
   const bool begun = co_await this->SendHead();
   if (begun) {
-    co_await this->responder.Write(std::move(last));
+    co_await this->responder.Write(std::move(lastEvent));
     co_await this->responder.End(std::string(kOutcomeHeader) + ": " +
-                                 ToText(aEnd.outcome) + "\r\n");
+                                 ToText(aResult.outcome) + "\r\n");
   }
 }
 
--- a/src/daemon/CallerStream.h
+++ b/src/daemon/CallerStream.h
@@ -1,6 +1,7 @@
 /** \file
- * A model's answer as callers read it: whole, or as server-sent events whose
- * ids let the stream be resumed at any daemon.
+ * A model's response in the format for callers: one JSON document, or
+ * server-sent events. The events' ids allow a caller to resume the stream at
+ * any daemon.
  */
 #pragma once
 
@@ -15,7 +16,7 @@
 
 namespace toucanshed {
 
-/** The whole answer of a model, as callers expect it. */
+/** Formats the complete response of a model as a JSON document. */
 std::string
 CompletionJson(const std::string& aId,
                const std::string& aModel,
@@ -24,9 +25,10 @@
                std::uint64_t aTokens);
 
 /**
- * Writes one stream. An event's id bears the number of tokens so far and a
- * hash over them. A caller that resumes gets only what it has not had, and
- * nothing if the answer's beginning comes out differently this time.
+ * Writes one stream. An event's id contains the number of tokens so far and a
+ * hash over them. A caller that resumes gets only the tokens that it has not
+ * received. It gets no token if the tokens before the resume point differ from
+ * those that it has received.
  *
  * Thread safety: none; belongs to the connection's worker.
  */
@@ -35,18 +37,20 @@
 public:
   /** The request and responder outlive the stream. */
   CallerStream(const ModelRequest& aRequest,
-               std::optional<ResumePoint> aResume,
+               std::optional<ResumePoint> aResumePoint,
                HttpResponder& aResponder);
 
-  /** Takes the next token; false when the caller has gone or the answer is not
-   * the one it has begun to read. */
+  /** Writes the next token.
+   * \return false if the caller has disconnected, or if the tokens up to the
+   *   resume point differ from those that the caller has received. */
   Task<bool> WriteToken(std::string aToken);
-  /** Takes what another daemon had of the answer, if it agrees with what the
-   * caller has; otherwise takes nothing. Precondition: a resume point. */
+  /** Writes the tokens that another daemon had produced, if they match those
+   * that the caller has received; otherwise writes nothing and returns false.
+   * Precondition: the stream has a resume point. */
   Task<bool> ReplayTokens(const std::vector<std::string>& aTokens);
-  /** Ends the stream; one that was handed over is left without an end, so that
-   * the caller sees it cut and resumes elsewhere. */
-  Task<void> End(const RequestResult& aEnd);
+  /** Ends the stream. A stream that was handed over gets no end, so that the
+   * caller sees an interrupted stream and resumes it at another daemon. */
+  Task<void> End(const RequestResult& aResult);
 
   [[nodiscard]] bool HasMismatch() const { return this->mismatch; }
 
--- a/src/daemon/ConfigChange.cpp
+++ b/src/daemon/ConfigChange.cpp
@@ -18,7 +18,7 @@
 constexpr Millis kAppliedPollInterval{ 50 };
 
 HttpResponse
-ErrorReply(unsigned aStatus, const std::string& aMessage)
+ErrorResponse(unsigned aStatus, const std::string& aMessage)
 {
   return MakeResponse(
     aStatus, json::serialize(json::object{ { "error", aMessage } }) + "\n");
@@ -27,15 +27,15 @@
 Task<std::optional<ChangeResult>>
 AwaitChangeResult(DaemonState& aState, Worker& aWorker, std::string aChangeId)
 {
-  std::optional<ChangeResult> verdict;
-  const TimePoint limit = aState.Now() + kConfirmTimeout;
-  co_await AwaitApplied(aState, aWorker, limit, [&] {
-    verdict = aState.control.WithLock([&](ControlReader& aReader) {
+  std::optional<ChangeResult> result;
+  const TimePoint deadline = aState.Now() + kConfirmTimeout;
+  co_await AwaitApplied(aState, aWorker, deadline, [&] {
+    result = aState.control.WithLock([&](ControlReader& aReader) {
       return aReader.Table().ResultOf(aChangeId);
     });
-    return verdict.has_value();
+    return result.has_value();
   });
-  co_return verdict;
+  co_return result;
 }
 
 Task<bool>
@@ -48,42 +48,44 @@
   HttpRequest request = MakeRequest(http::verb::get, "/applied");
   CallTimeouts timeouts;
   timeouts.head = Millis(500);
-  const auto reply =
+  const auto response =
     co_await Fetch(aWorker, *endpoint, std::move(request), timeouts);
-  if (!reply) {
+  if (!response) {
     co_return false;
   }
   std::uint64_t applied = 0;
-  const std::string& text = reply->body();
-  std::from_chars(text.data(), text.data() + text.size(), applied);
+  const std::string& responseText = response->body();
+  std::from_chars(
+    responseText.data(), responseText.data() + responseText.size(), applied);
   co_return applied >= aRevision.value;
 }
 
-/** Waits for the daemons that are alive; \return ids of those behind. */
+/** Waits until all daemons that are not dead have applied a revision.
+ * \return the ids of those that have not applied it in time. */
 Task<std::vector<std::string>>
 AwaitAllDaemons(DaemonState& aState, Worker& aWorker, Position aRevision)
 {
-  const TimePoint limit = aState.Now() + kPropagationTimeout;
-  std::set<std::string> done;
+  const TimePoint deadline = aState.Now() + kPropagationTimeout;
+  std::set<std::string> upToDate;
   while (true) {
-    std::vector<std::pair<std::string, std::string>> others;
+    std::vector<std::pair<std::string, std::string>> pending;
     aState.membership.WithLock([&](Membership& aMembers) {
       for (const auto& [id, view] : aMembers.Others()) {
-        if (view.member.status() != peer::DEAD && done.count(id) == 0) {
-          others.emplace_back(id, view.member.operator_address());
+        if (view.member.status() != peer::DEAD && upToDate.count(id) == 0) {
+          pending.emplace_back(id, view.member.operator_address());
         }
       }
     });
     std::vector<std::string> behind;
-    for (const auto& [id, address] : others) {
+    for (const auto& [id, address] : pending) {
       const bool applied = co_await HasApplied(aWorker, address, aRevision);
       if (applied) {
-        done.insert(id);
+        upToDate.insert(id);
       } else {
         behind.push_back(id);
       }
     }
-    if (behind.empty() || aState.Now() >= limit) {
+    if (behind.empty() || aState.Now() >= deadline) {
       co_return behind;
     }
     co_await Sleep(kAppliedPollInterval);
@@ -102,11 +104,11 @@
   const auto status =
     google::protobuf::util::JsonStringToMessage(aRequest.body(), change);
   if (!status.ok()) {
-    co_return ErrorReply(400, std::string(status.message()));
+    co_return ErrorResponse(400, std::string(status.message()));
   }
-  const auto complaints = ValidateDocument(change->document(), "document");
-  if (!complaints.empty()) {
-    co_return ErrorReply(422, FormatValidationErrors(complaints));
+  const auto errors = ValidateDocument(change->document(), "document");
+  if (!errors.empty()) {
+    co_return ErrorResponse(422, FormatValidationErrors(errors));
   }
   const std::string changeId = aState.NewId("c");
   change->set_change_id(changeId);
@@ -114,24 +116,24 @@
   aState.control.WithLock(
     [&](ControlReader& aReader) { aReader.Queue().Add(std::move(record)); });
   aState.appendRequested.NotifyAll();
-  const auto verdict = co_await AwaitChangeResult(aState, aWorker, changeId);
-  if (!verdict) {
-    co_return ErrorReply(
+  const auto result = co_await AwaitChangeResult(aState, aWorker, changeId);
+  if (!result) {
+    co_return ErrorResponse(
       503, "the log has not confirmed; the change may still come into force");
   }
-  if (!verdict->accepted) {
-    co_return ErrorReply(409, verdict->reason);
+  if (!result->accepted) {
+    co_return ErrorResponse(409, result->reason);
   }
-  json::object answer{ { "revision", verdict->revision.value } };
+  json::object body{ { "revision", result->revision.value } };
   if (QueryParamOf(aRequest.target(), "wait") == "1") {
     json::array behind;
     for (const std::string& id :
-         co_await AwaitAllDaemons(aState, aWorker, verdict->revision)) {
+         co_await AwaitAllDaemons(aState, aWorker, result->revision)) {
       behind.push_back(json::string(id));
     }
-    answer["behind"] = behind;
+    body["behind"] = behind;
   }
-  co_return MakeResponse(200, json::serialize(answer) + "\n");
+  co_return MakeResponse(200, json::serialize(body) + "\n");
 }
 
 } // namespace toucanshed
--- a/src/daemon/ConfigChange.h
+++ b/src/daemon/ConfigChange.h
@@ -1,5 +1,5 @@
 /** \file
- * Takes an operator's change of configuration through the log.
+ * Applies an operator's change of configuration through the log.
  */
 #pragma once
 
@@ -9,13 +9,13 @@
 namespace toucanshed {
 
 /**
- * POST /config[?wait=1] with a ConfigChange in JSON: the document and the
- * revision it is based on. Answers 200 with the new revision once the change
- * is read back as accepted, 409 when another change was first, 422 for a
- * document with mistakes, 503 when the log does not confirm in time, in which
- * case the change may still come into force. With wait=1 the answer comes
- * when every daemon that is alive has it in force, and names those that had
- * not in time.
+ * Handles POST /config[?wait=1] with a ConfigChange in JSON: the document and
+ * the revision it is based on. Responds with 200 and the new revision once the
+ * change is read back from the log as accepted, 409 if another change was
+ * first, 422 for an invalid document, and 503 if the log does not confirm in
+ * time; in that case the change may still come into force. With wait=1 the
+ * response is sent when every daemon that is not dead has applied the change.
+ * It lists the daemons that have not applied it in time.
  *
  * Thread safety: may be called on any worker.
  */
--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -21,7 +21,8 @@
 namespace {
 
 constexpr Millis kDrainPollInterval{ 50 };
-/** Time for streams to be handed over and their callers' connections closed. */
+/** Time to hand streams over to peers and to close the connections of their
+ * callers. */
 constexpr Millis kHandoverTime{ 3000 };
 constexpr Millis kPeerFetchInterval{ 500 };
 
@@ -102,8 +103,9 @@
 Task<void>
 Daemon::FetchControlFromPeers()
 {
-  // Only while the log has not told what is in force: a daemon that starts in
-  // an outage would else be of no use until its end.
+  // Runs only until the configuration is loaded from the log. Without it, a
+  // daemon that starts during an outage of the log could not serve until the
+  // outage ends.
   Worker& worker = this->state.pool.First();
   while (!this->state.controlLoaded) {
     std::vector<std::string> addresses;
@@ -118,13 +120,13 @@
         continue;
       }
       HttpRequest request = MakeRequest(http::verb::get, "/control-snapshot");
-      const auto reply =
+      const auto response =
         co_await Fetch(worker, *endpoint, std::move(request), CallTimeouts{});
       records::ControlSnapshot snapshot;
-      const bool known = reply && reply->result_int() == 200 &&
-                         snapshot.ParseFromString(reply->body()) &&
-                         snapshot.covers() > 0;
-      if (known) {
+      const bool usable = response && response->result_int() == 200 &&
+                          snapshot.ParseFromString(response->body()) &&
+                          snapshot.covers() > 0;
+      if (usable) {
         this->state.control.WithLock(
           [&](ControlReader& aReader) { aReader.LoadSnapshot(snapshot); });
         this->state.controlLoaded = true;
@@ -144,17 +146,17 @@
   co_await this->signals.async_wait(
     net::redirect_error(net::use_awaitable, error));
   this->state.pool.First().Spawn(this->StopGracefully());
-  // A second signal is somebody's wish to have it over with.
+  // A second signal requests an immediate stop.
   co_await this->signals.async_wait(
     net::redirect_error(net::use_awaitable, error));
   this->state.pool.Stop();
 }
 
 Task<void>
-Daemon::WaitForCallers(Millis aTime)
+Daemon::WaitForCallers(Millis aTimeout)
 {
-  const TimePoint limit = this->state.Now() + aTime;
-  while (this->callerServer.InProgress() > 0 && this->state.Now() < limit) {
+  const TimePoint deadline = this->state.Now() + aTimeout;
+  while (this->callerServer.InProgress() > 0 && this->state.Now() < deadline) {
     co_await Sleep(kDrainPollInterval);
   }
 }
@@ -165,13 +167,13 @@
   this->state.stopping = true;
   this->state.events.Emit(Event("daemon.stopping"));
   this->peers.AnnounceLeaving();
-  // The balancer still sends callers until it has seen "not ready".
+  // The balancer still sends requests here until it has read "not ready".
   co_await Sleep(this->state.settings.balancerRemovalDelay);
   this->callerServer.Close();
   co_await this->WaitForCallers(this->state.settings.drainTimeout);
   this->state.handingOver = true;
   co_await this->WaitForCallers(kHandoverTime);
-  const auto unsettled = [this] {
+  const auto uncommittedRecords = [this] {
     const auto claims =
       this->state.claims.WithLock([](ClaimCoordinator& aClaims) {
         return aClaims.Queue().UncommittedRecords();
@@ -180,10 +182,10 @@
       return aWork.Queue().UncommittedRecords();
     });
   };
-  // Outcomes not yet in the log are worth a short wait: with them a repeated
-  // key gets its answer, without them "may have run".
-  const TimePoint logLimit = this->state.Now() + Millis(5000);
-  while (unsettled() > 0 && this->state.Now() < logLimit) {
+  // Waits shortly for outcomes that are not in the log yet. A repeated key gets
+  // its response only from a logged outcome; otherwise it gets "may have run".
+  const TimePoint logDeadline = this->state.Now() + Millis(5000);
+  while (uncommittedRecords() > 0 && this->state.Now() < logDeadline) {
     co_await Sleep(kDrainPollInterval);
   }
   this->state.events.Emit(Event("daemon.stopped"));
--- a/src/daemon/Daemon.h
+++ b/src/daemon/Daemon.h
@@ -1,5 +1,5 @@
 /** \file
- * Puts the daemon together, runs it and stops it.
+ * Assembles the daemon, runs it and stops it.
  */
 #pragma once
 
@@ -24,16 +24,16 @@
 public:
   Daemon(Settings aSettings, std::uint64_t aIncarnation);
 
-  /** Opens the ports. */
+  /** Opens the ports and starts the background tasks. */
   Result<void> Start();
-  /** Serves until a signal has asked for a stop and the stop is done. */
+  /** Serves until a signal requests a stop and the stop is complete. */
   void Run();
 
 private:
   Task<void> StopOnSignal();
   Task<void> StopGracefully();
-  /** Waits until no caller's request is in progress, or the time is over. */
-  Task<void> WaitForCallers(Millis aTime);
+  /** Waits until no caller's request is in progress, at most for a time. */
+  Task<void> WaitForCallers(Millis aTimeout);
   Task<void> FetchControlFromPeers();
 
   DaemonState state;
--- a/src/daemon/DaemonState.cpp
+++ b/src/daemon/DaemonState.cpp
@@ -10,8 +10,8 @@
 TimePoint
 WallNow()
 {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
-  return TimePoint{ std::chrono::duration_cast<Millis>(since).count() };
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  return TimePoint{ std::chrono::duration_cast<Millis>(sinceEpoch).count() };
 }
 
 peer::Member
@@ -54,67 +54,69 @@
 }
 
 std::string
-DaemonState::NewId(const char* aKind)
+DaemonState::NewId(const char* aPrefix)
 {
-  // Ids stand in URLs, so the writer's '/' is replaced.
-  std::string life = this->writer.value;
-  std::replace(life.begin(), life.end(), '/', '.');
-  return std::string(aKind) + "-" + life + "-" + std::to_string(++this->lastId);
+  // Ids are used in URLs, so the writer's '/' is replaced.
+  std::string incarnationKey = this->writer.value;
+  std::replace(incarnationKey.begin(), incarnationKey.end(), '/', '.');
+  return std::string(aPrefix) + "-" + incarnationKey + "-" +
+         std::to_string(++this->lastId);
 }
 
 bool
 DaemonState::PublishFact(const FactEntry& aFact)
 {
   const TimePoint now = this->Now();
-  const bool news = this->factTables.WithLock(
-    [&](FactTables& aCaution) { return aCaution.facts.Add(aFact, now); });
-  if (news) {
+  const bool isNew = this->factTables.WithLock(
+    [&](FactTables& aTables) { return aTables.facts.Add(aFact, now); });
+  if (isNew) {
     this->events.Emit(Event("fact.stated").With("fact", aFact.key));
     this->gossipFacts();
   }
-  return news;
+  return isNew;
 }
 
 bool
 DaemonState::HasFact(const std::string& aFactKey)
 {
   return this->factTables.WithLock(
-    [&](FactTables& aCaution) { return aCaution.facts.Contains(aFactKey); });
+    [&](FactTables& aTables) { return aTables.facts.Contains(aFactKey); });
 }
 
 Task<bool>
 AwaitApplied(DaemonState& aState,
              Worker& aWorker,
-             TimePoint aLimit,
-             std::function<bool()> aDone)
+             TimePoint aDeadline,
+             std::function<bool()> aIsDone)
 {
-  // Woken by each fold; the period covers what changes without one.
-  constexpr Millis kLookEvery{ 100 };
+  // Woken when records are applied. The interval covers conditions that change
+  // without a record.
+  constexpr Millis kPollInterval{ 100 };
   while (true) {
     const std::uint64_t seen = aState.recordsApplied.Version();
-    if (aDone()) {
+    if (aIsDone()) {
       co_return true;
     }
-    if (aState.Now() >= aLimit) {
+    if (aState.Now() >= aDeadline) {
       co_return false;
     }
-    co_await aState.recordsApplied.WaitForChange(seen, aWorker, kLookEvery);
+    co_await aState.recordsApplied.WaitForChange(seen, aWorker, kPollInterval);
   }
 }
 
 std::string
-RollbackFact(Position aMove, const std::string& aReason)
+RollbackFact(Position aRollout, const std::string& aReason)
 {
-  return "taken-back/" + std::to_string(aMove.value) + "/" + aReason;
+  return "taken-back/" + std::to_string(aRollout.value) + "/" + aReason;
 }
 
 std::optional<std::string>
-RollbackReason(DaemonState& aState, Position aMove)
+RollbackReason(DaemonState& aState, Position aRollout)
 {
-  const std::string prefix = RollbackFact(aMove, {});
+  const std::string prefix = RollbackFact(aRollout, {});
   return aState.factTables.WithLock(
-    [&](FactTables& aCaution) -> std::optional<std::string> {
-      const auto facts = aCaution.facts.WithPrefix(prefix);
+    [&](FactTables& aTables) -> std::optional<std::string> {
+      const auto facts = aTables.facts.WithPrefix(prefix);
       if (facts.empty()) {
         return std::nullopt;
       }
@@ -123,9 +125,9 @@
 }
 
 std::string
-LeavingFact(const std::string& aLife)
+LeavingFact(const std::string& aIncarnationKey)
 {
-  return "leaving/" + aLife;
+  return "leaving/" + aIncarnationKey;
 }
 
 } // namespace toucanshed
--- a/src/daemon/DaemonState.h
+++ b/src/daemon/DaemonState.h
@@ -1,5 +1,5 @@
 /** \file
- * The tables that the daemon's workers share.
+ * The state that the daemon's workers share.
  */
 #pragma once
 
@@ -27,7 +27,8 @@
 
 namespace toucanshed {
 
-/** Facts heard and what is kept beside them, under one lock. */
+/** Facts from this daemon and its peers, and the tables that share their
+ * lock. */
 struct FactTables
 {
   FactSet facts;
@@ -37,19 +38,22 @@
 };
 
 /**
- * Locks are taken in the order of LockRank; the members stand in that order.
+ * Locks are acquired in the order of LockRank; the members are declared in that
+ * order.
  *
- * Thread safety: every Guarded table by its lock; atomics and the parts that
- * say so by themselves; settings never change.
+ * Thread safety: every Guarded table is protected by its lock. Atomics, and
+ * members whose type documents it, are thread-safe by themselves. The settings
+ * are constant.
  */
 struct DaemonState
 {
   DaemonState(Settings aSettings, std::uint64_t aIncarnation);
 
   [[nodiscard]] TimePoint Now() const;
-  /** A new id, unique over daemons and their lives. */
-  std::string NewId(const char* aKind);
-  /** States a fact here and sends it to peers. \return whether it is news. */
+  /** Returns a new id, unique over all daemons and their incarnations. */
+  std::string NewId(const char* aPrefix);
+  /** Adds a fact to this daemon's set and sends it to peers.
+   * \return whether the fact was not in the set before. */
   bool PublishFact(const FactEntry& aFact);
   bool HasFact(const std::string& aFactKey);
 
@@ -59,8 +63,8 @@
   Metrics metrics;
   WorkerPool pool;
   LogClient log;
-  Notifier recordsApplied;  // a table folded something from the log
-  Notifier appendRequested; // a record waits to be appended
+  Notifier recordsApplied;  // a table has applied records of the log
+  Notifier appendRequested; // a record is queued to be appended
 
   Guarded<ControlReader, LockRank::eControl> control;
   Guarded<ClaimCoordinator, LockRank::eClaims> claims;
@@ -72,17 +76,18 @@
   Guarded<RetryBudget, LockRank::eRetryBudget> retryBudget;
   AdmissionController admission;
 
-  /** Called without a lock when a fact was stated; set before the workers
+  /** Called without a lock after a fact was published; set before the workers
    * start. */
   std::function<void()> gossipFacts = [] {};
-  /** Sends to a peer without waiting; set before the workers start. */
+  /** Sends a message to a peer without blocking; set before the workers
+   * start. */
   std::function<void(OutgoingEnvelope)> sendToPeer = [](OutgoingEnvelope) {};
 
-  /** Grows whenever a back end turns out to be leaving, so that streams need
-   * not look at the router for every token. */
+  /** Incremented when a back end is marked as leaving, so that streams need
+   * not query the router for every token. */
   std::atomic<std::uint64_t> leavingChanges{ 0 };
   std::atomic<bool> stopping{ false };
-  /** The time to finish is over: streams go to peers. */
+  /** The drain timeout is over: streams are handed over to peers. */
   std::atomic<bool> handingOver{ false };
   std::atomic<bool> controlLoaded{ false };
   std::atomic<std::int64_t> logLastReadMs{ 0 };
@@ -92,23 +97,24 @@
   std::atomic<std::uint64_t> lastId{ 0 };
 };
 
-/** Waits until something that the log must bring is there.
- * \param aDone looks for it, under whatever lock it takes itself.
- * \return false when the limit came first. */
+/** Waits until a condition that depends on records of the log is met.
+ * \param aIsDone checks the condition; it acquires the locks it uses itself.
+ * \return false if the deadline passed first. */
 Task<bool>
 AwaitApplied(DaemonState& aState,
              Worker& aWorker,
-             TimePoint aLimit,
-             std::function<bool()> aDone);
+             TimePoint aDeadline,
+             std::function<bool()> aIsDone);
 
-/** Keys of facts. That a move is taken back bears the reason, which the daemon
- * that records the end may not have seen itself. */
+/** Key of the fact that a rollout is rolled back. It contains the reason,
+ * because the daemon that records the end may not have found it itself. */
 std::string
-RollbackFact(Position aMove, const std::string& aReason);
-/** The reason, if the move is known here to be taken back. */
+RollbackFact(Position aRollout, const std::string& aReason);
+/** The reason, if this daemon has the fact that the rollout is rolled back. */
 std::optional<std::string>
-RollbackReason(DaemonState& aState, Position aMove);
+RollbackReason(DaemonState& aState, Position aRollout);
+/** Key of the fact that an incarnation of an engine is leaving. */
 std::string
-LeavingFact(const std::string& aLife);
+LeavingFact(const std::string& aIncarnationKey);
 
 } // namespace toucanshed
--- a/src/daemon/Handover.cpp
+++ b/src/daemon/Handover.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr std::size_t kHandoverReplicas = 2;
-/** Peers asked for a stream: its holders, and some that may have been ranked
- * before them when it was handed over. */
-constexpr std::size_t kMaxPeersAsked = 4;
+/** Number of peers that are queried for a stream. It exceeds kHandoverReplicas
+ * because the replicas may have had higher ranks when the stream was handed
+ * over. */
+constexpr std::size_t kMaxPeersQueried = 4;
 constexpr Millis kLookupTimeout{ 300 };
 
-/** The other daemons that own work, the likeliest holder first. */
+/** The other daemons that are alive, the most likely replica first. */
 std::vector<peer::Member>
 PeersByRank(DaemonState& aState, const RequestId& aRequest)
 {
@@ -37,16 +38,16 @@
 std::vector<peer::Member>
 ReplicaPeersOf(DaemonState& aState, const RequestId& aRequest)
 {
-  std::vector<peer::Member> holders;
-  std::vector<peer::Member> others;
+  std::vector<peer::Member> replicas;
+  std::vector<peer::Member> sameZone;
   std::set<std::string> zones{ aState.settings.zone.value };
   for (peer::Member& member : PeersByRank(aState, aRequest)) {
-    const bool fresh = zones.insert(member.zone()).second;
-    (fresh ? holders : others).push_back(std::move(member));
+    const bool isNewZone = zones.insert(member.zone()).second;
+    (isNewZone ? replicas : sameZone).push_back(std::move(member));
   }
-  holders.insert(holders.end(), others.begin(), others.end());
-  holders.resize(std::min(holders.size(), kHandoverReplicas));
-  return holders;
+  replicas.insert(replicas.end(), sameZone.begin(), sameZone.end());
+  replicas.resize(std::min(replicas.size(), kHandoverReplicas));
+  return replicas;
 }
 
 peer::Handover
@@ -72,8 +73,8 @@
 FindLocal(DaemonState& aState, const RequestId& aRequest)
 {
   return aState.factTables.WithLock(
-    [&](FactTables& aCaution) -> std::optional<HandedOverStream> {
-      const HandedOverStream* found = aCaution.handovers.Find(aRequest);
+    [&](FactTables& aTables) -> std::optional<HandedOverStream> {
+      const HandedOverStream* found = aTables.handovers.Find(aRequest);
       return found == nullptr ? std::nullopt
                               : std::optional<HandedOverStream>(*found);
     });
@@ -84,9 +85,9 @@
 void
 HandOverStream(DaemonState& aState, const HandedOverStream& aStream)
 {
-  for (const peer::Member& holder : ReplicaPeersOf(aState, aStream.request)) {
+  for (const peer::Member& replica : ReplicaPeersOf(aState, aStream.request)) {
     OutgoingEnvelope message;
-    message.address = holder.address();
+    message.address = replica.address();
     message.envelope.set_kind(peer::Envelope::FACTS);
     aState.membership.WithLock([&](Membership& aMembers) {
       *message.envelope.mutable_from() = aMembers.Self();
@@ -95,7 +96,7 @@
     aState.sendToPeer(std::move(message));
     aState.events.Emit(Event("stream.handed_over")
                          .With("request", aStream.request)
-                         .With("to", holder.id())
+                         .With("to", replica.id())
                          .With("tokens", aStream.tokens.size()));
   }
 }
@@ -104,9 +105,9 @@
 StoreHandedOver(DaemonState& aState, const peer::Envelope& aEnvelope)
 {
   const TimePoint now = aState.Now();
-  aState.factTables.WithLock([&](FactTables& aCaution) {
+  aState.factTables.WithLock([&](FactTables& aTables) {
     for (const peer::Handover& handover : aEnvelope.handovers()) {
-      aCaution.handovers.Add(ParseHandoverMessage(handover), now);
+      aTables.handovers.Add(ParseHandoverMessage(handover), now);
     }
   });
 }
@@ -126,9 +127,9 @@
   if (found) {
     co_return found;
   }
-  std::vector<peer::Member> asked = PeersByRank(aState, aRequest);
-  asked.resize(std::min(asked.size(), kMaxPeersAsked));
-  for (const peer::Member& member : asked) {
+  std::vector<peer::Member> candidates = PeersByRank(aState, aRequest);
+  candidates.resize(std::min(candidates.size(), kMaxPeersQueried));
+  for (const peer::Member& member : candidates) {
     const auto endpoint = ParseEndpoint(member.operator_address());
     if (!endpoint) {
       continue;
@@ -138,13 +139,13 @@
     timeouts.head = kLookupTimeout;
     HttpRequest request =
       MakeRequest(http::verb::get, "/handed-over?request=" + aRequest.value);
-    const auto reply =
+    const auto response =
       co_await Fetch(aWorker, *endpoint, std::move(request), timeouts);
     peer::Handover handover;
-    const bool holds = reply && reply->result_int() == 200 &&
-                       handover.ParseFromString(reply->body()) &&
-                       handover.request() == aRequest.value;
-    if (holds) {
+    const bool matches = response && response->result_int() == 200 &&
+                         handover.ParseFromString(response->body()) &&
+                         handover.request() == aRequest.value;
+    if (matches) {
       co_return ParseHandoverMessage(handover);
     }
   }
--- a/src/daemon/LogStreams.cpp
+++ b/src/daemon/LogStreams.cpp
@@ -6,13 +6,14 @@
 
 constexpr Millis kLongPollTime{ 2000 };
 constexpr Millis kRetryDelay{ 200 };
-/** A page with fewer entries than this reached the stream's end. */
+/** A page with fewer entries than this reaches the end of the stream. */
 constexpr int kPageSize = 100;
-/** Records that come up within this time of each other share an append. */
+/** Records queued within this time of each other share an append. */
 constexpr Millis kBatchDelay{ 4 };
 constexpr Millis kAppendPollInterval{ 1000 };
 
-/** What a stream's coroutines do to its table, under the table's lock. */
+/** Operations of a stream's coroutines on its table, under the table's
+ * lock. */
 struct StreamHooks
 {
   std::string name;
@@ -21,11 +22,11 @@
   std::function<std::optional<records::Batch>()> nextToSend;
   std::function<void()> allowResend;
   std::function<void(std::uint64_t)> markCommitted;
-  /** Called when a read came back with less than a page may hold. */
+  /** Called when a read returned fewer entries than kPageSize. */
   std::function<void()> onCaughtUp;
 };
 
-/** Gives a table's queue to a function under the table's lock. */
+/** Makes hooks that use a table and its queue under the table's lock. */
 template<typename Table>
 StreamHooks
 MakeHooks(std::string aName, Table& aTable)
@@ -35,17 +36,21 @@
   hooks.setEarliestOffset = [](std::uint64_t) {};
   hooks.onCaughtUp = [] {};
   hooks.apply = [&aTable](std::uint64_t aOffset, const records::Batch& aBatch) {
-    aTable.WithLock([&](auto& aFold) { aFold.Apply(aOffset, aBatch); });
+    aTable.WithLock(
+      [&](auto& aLockedTable) { aLockedTable.Apply(aOffset, aBatch); });
   };
   hooks.nextToSend = [&aTable] {
     return aTable.WithLock(
-      [](auto& aFold) { return aFold.Queue().NextToSend(); });
+      [](auto& aLockedTable) { return aLockedTable.Queue().NextToSend(); });
   };
   hooks.allowResend = [&aTable] {
-    aTable.WithLock([](auto& aFold) { aFold.Queue().AllowResend(); });
+    aTable.WithLock(
+      [](auto& aLockedTable) { aLockedTable.Queue().AllowResend(); });
   };
   hooks.markCommitted = [&aTable](std::uint64_t aSequence) {
-    aTable.WithLock([&](auto& aFold) { aFold.Queue().MarkCommitted(aSequence); });
+    aTable.WithLock([&](auto& aLockedTable) {
+      aLockedTable.Queue().MarkCommitted(aSequence);
+    });
   };
   return hooks;
 }
@@ -70,15 +75,15 @@
 Task<void>
 ReadStream(DaemonState& aState, Worker& aWorker, StreamHooks aHooks)
 {
-  std::uint64_t from = 1;
-  bool begun = false;
-  bool answering = true;
+  std::uint64_t nextOffset = 1;
+  bool firstPageRead = false;
+  bool reachable = true;
   while (true) {
     auto page =
-      co_await aState.log.read(aWorker, aHooks.name, from, kLongPollTime);
-    if (static_cast<bool>(page) != answering) {
-      answering = static_cast<bool>(page);
-      aState.events.Emit(Event(answering ? "log.answers" : "log.silent")
+      co_await aState.log.read(aWorker, aHooks.name, nextOffset, kLongPollTime);
+    if (static_cast<bool>(page) != reachable) {
+      reachable = static_cast<bool>(page);
+      aState.events.Emit(Event(reachable ? "log.answers" : "log.silent")
                            .With("stream", aHooks.name));
     }
     if (!page) {
@@ -86,12 +91,12 @@
       continue;
     }
     aState.logLastReadMs = aState.Now().ms;
-    if (!begun) {
-      begun = true;
+    if (!firstPageRead) {
+      firstPageRead = true;
       aHooks.setEarliestOffset(page->earliest());
     }
     ApplyPage(aState, aHooks, *page);
-    from = page->next();
+    nextOffset = page->next();
     if (page->entries_size() < kPageSize) {
       aHooks.onCaughtUp();
     }
@@ -111,9 +116,9 @@
       co_await Sleep(kBatchDelay);
       continue;
     }
-    const auto done = co_await aState.log.append(
+    const auto appended = co_await aState.log.append(
       aWorker, aHooks.name, batch->SerializeAsString());
-    if (done) {
+    if (appended) {
       aHooks.markCommitted(batch->sequence());
       continue;
     }
--- a/src/daemon/LogStreams.h
+++ b/src/daemon/LogStreams.h
@@ -1,5 +1,6 @@
 /** \file
- * Moves records between the shared tables and the platform's log.
+ * Reads records from the platform's log into the shared tables, and appends
+ * the tables' own records to the log.
  */
 #pragma once
 
@@ -12,8 +13,8 @@
 constexpr const char* kClaimStream = "claims";
 constexpr const char* kWorkStream = "work";
 
-/** Starts reading and appending for all streams, each on a coroutine of its
- * own. Precondition: called once. */
+/** Starts two coroutines for each stream, one that reads and one that appends.
+ * Precondition: called once. */
 void
 StartLogStreams(DaemonState& aState);
 
--- a/src/daemon/ModelAttempt.cpp
+++ b/src/daemon/ModelAttempt.cpp
@@ -23,9 +23,9 @@
 } // namespace
 
 std::string
-ToText(AttemptStatus aEnd)
+ToText(AttemptStatus aStatus)
 {
-  switch (aEnd) {
+  switch (aStatus) {
     case AttemptStatus::eComplete:
       return "whole";
     case AttemptStatus::eCallerDisconnected:
@@ -57,12 +57,12 @@
 ModelAttempt::ModelAttempt(DaemonState& aState,
                            Worker& aWorker,
                            AttemptPlan aPlan,
-                           ResponseAssembler& aAnswer,
+                           ResponseAssembler& aResponse,
                            TokenSink& aSink)
   : state(aState)
   , worker(aWorker)
   , plan(std::move(aPlan))
-  , response(aAnswer)
+  , response(aResponse)
   , sink(aSink)
   , id{ aState.NewId("a") }
 {
@@ -77,9 +77,9 @@
 }
 
 Task<AttemptResult>
-ModelAttempt::Run(std::optional<MigrationSource>& aOrigin)
+ModelAttempt::Run(std::optional<MigrationSource>& aSource)
 {
-  co_await this->TransferState(aOrigin);
+  co_await this->TransferState(aSource);
   this->response.BeginAttempt(this->id);
   this->state.events.Emit(Event("attempt.sent")
                             .With("request", this->plan.request.id)
@@ -108,9 +108,9 @@
                         this->result.status != AttemptStatus::eRejected;
   }
   if (this->result.status == AttemptStatus::eStalled) {
-    const bool lives = co_await this->IsEngineAlive();
+    const bool alive = co_await this->IsEngineAlive();
     this->result.status =
-      lives ? AttemptStatus::eStalled : AttemptStatus::eCrashed;
+      alive ? AttemptStatus::eStalled : AttemptStatus::eCrashed;
   }
   const bool abandoned =
     this->result.status == AttemptStatus::eStalled ||
@@ -121,7 +121,7 @@
       this->worker, this->plan.choice.address, this->id);
   }
   if (this->result.status == AttemptStatus::eMigrating) {
-    aOrigin.emplace(
+    aSource.emplace(
       MigrationSource{ this->plan.choice, this->id, std::move(stream) });
   } else if (this->engineLeaving) {
     this->LeaveMigrationQueue(this->plan.choice.IncarnationKey());
@@ -131,7 +131,7 @@
 }
 
 Task<void>
-ModelAttempt::TransferState(std::optional<MigrationSource>& aOrigin)
+ModelAttempt::TransferState(std::optional<MigrationSource>& aSource)
 {
   if (this->response.TokenCount() > 0) {
     this->state.metrics.Count("toucanshed_resumed_tokens_total",
@@ -139,43 +139,44 @@
                               this->response.TokenCount() +
                                 EstimateTokens(this->plan.request.prompt));
   }
-  if (!aOrigin) {
+  if (!aSource) {
     co_return;
   }
-  const bool held = co_await TransferKvCache(this->worker,
-                                             aOrigin->choice.address,
-                                             this->plan.choice.address,
-                                             aOrigin->attempt,
-                                             this->response.TokenCount());
-  this->state.events.Emit(Event("stream.moved")
-                            .With("request", this->plan.request.id)
-                            .With("from", aOrigin->choice.IncarnationKey())
-                            .With("to", this->plan.choice.IncarnationKey())
-                            .With("tokens", this->response.TokenCount())
-                            .With("state", held ? "imported" : "recomputed"));
+  const bool imported = co_await TransferKvCache(this->worker,
+                                                 aSource->choice.address,
+                                                 this->plan.choice.address,
+                                                 aSource->attempt,
+                                                 this->response.TokenCount());
+  this->state.events.Emit(
+    Event("stream.moved")
+      .With("request", this->plan.request.id)
+      .With("from", aSource->choice.IncarnationKey())
+      .With("to", this->plan.choice.IncarnationKey())
+      .With("tokens", this->response.TokenCount())
+      .With("state", imported ? "imported" : "recomputed"));
   this->state.metrics.Count("toucanshed_streams_moved_total",
-                            held ? "state=\"imported\""
-                                 : "state=\"recomputed\"");
-  this->LeaveMigrationQueue(aOrigin->choice.IncarnationKey());
-  aOrigin.reset();
+                            imported ? "state=\"imported\""
+                                     : "state=\"recomputed\"");
+  this->LeaveMigrationQueue(aSource->choice.IncarnationKey());
+  aSource.reset();
 }
 
 Task<AttemptStatus>
 ModelAttempt::ReadTokens(EngineStream& aStream)
 {
-  const std::uint64_t before = this->response.TokenCount();
+  const std::uint64_t tokensBefore = this->response.TokenCount();
   while (true) {
     auto event = co_await aStream.Next();
     if (!event || !event->has_value()) {
       co_return AttemptStatus::eStalled;
     }
-    const EngineEvent& got = **event;
-    if (got.done && got.attempt == this->id.value) {
-      co_return this->HandleDone(got, before);
+    const EngineEvent& received = **event;
+    if (received.done && received.attempt == this->id.value) {
+      co_return this->HandleDone(received, tokensBefore);
     }
-    const auto end = co_await this->HandleToken(got);
-    if (end) {
-      co_return *end;
+    const auto endStatus = co_await this->HandleToken(received);
+    if (endStatus) {
+      co_return *endStatus;
     }
     if (this->plan.mayHandOver && this->state.handingOver) {
       co_return AttemptStatus::eHandingOver;
@@ -187,18 +188,18 @@
 }
 
 AttemptStatus
-ModelAttempt::HandleDone(const EngineEvent& aEvent, std::uint64_t aBefore)
+ModelAttempt::HandleDone(const EngineEvent& aEvent, std::uint64_t aTokensBefore)
 {
-  const auto tokens = this->response.TokenCount() - aBefore;
+  const auto tokens = this->response.TokenCount() - aTokensBefore;
   if (tokens > 1) {
     this->result.meanTokenGapMs =
       (this->lastTokenMs - this->result.firstTokenMs) /
       static_cast<double>(tokens - 1);
   }
-  const EventAction verdict =
+  const EventAction action =
     this->response.CheckEnd(aEvent.attempt, aEvent.offset);
-  return verdict == EventAction::eDeliver ? AttemptStatus::eComplete
-                                          : AttemptStatus::eFailed;
+  return action == EventAction::eDeliver ? AttemptStatus::eComplete
+                                         : AttemptStatus::eFailed;
 }
 
 Task<std::optional<AttemptStatus>>
@@ -208,12 +209,12 @@
     this->state.metrics.Count("toucanshed_engine_events_ignored_total");
     co_return std::nullopt;
   }
-  const EventAction verdict =
+  const EventAction action =
     this->response.AddToken(aEvent.attempt, aEvent.offset, aEvent.token);
-  if (verdict == EventAction::eAbortStream) {
+  if (action == EventAction::eAbortStream) {
     co_return AttemptStatus::eFailed;
   }
-  if (verdict == EventAction::eIgnore) {
+  if (action == EventAction::eIgnore) {
     this->state.metrics.Count("toucanshed_engine_events_ignored_total");
     co_return std::nullopt;
   }
@@ -221,8 +222,8 @@
   if (this->result.firstTokenMs < 0) {
     this->result.firstTokenMs = this->lastTokenMs;
   }
-  const bool taken = co_await this->sink(aEvent.token);
-  if (!taken) {
+  const bool delivered = co_await this->sink(aEvent.token);
+  if (!delivered) {
     co_return AttemptStatus::eCallerDisconnected;
   }
   co_return std::nullopt;
@@ -254,13 +255,13 @@
 Task<bool>
 ModelAttempt::IsEngineAlive()
 {
-  // On a new connection: it tells an engine that is gone from a connection
-  // that something between the two ends has lost track of.
-  EngineReport known;
-  known.id = this->plan.choice.id;
-  known.address = this->plan.choice.address;
+  // Uses a new connection, which distinguishes a crashed engine from a
+  // connection whose state was lost between the two ends.
+  EngineReport engine;
+  engine.id = this->plan.choice.id;
+  engine.address = this->plan.choice.address;
   const auto report =
-    co_await FetchEngineReport(this->worker, known, kProbeTimeout);
+    co_await FetchEngineReport(this->worker, engine, kProbeTimeout);
   const bool alive =
     report && report->incarnation == this->plan.choice.incarnation;
   if (alive) {
@@ -273,33 +274,34 @@
 bool
 ModelAttempt::MayMigrate()
 {
-  const std::string life = this->plan.choice.IncarnationKey();
-  const std::uint64_t leavings = this->state.leavingChanges;
-  if (leavings != this->seenLeavingChanges) {
-    this->seenLeavingChanges = leavings;
+  const std::string incarnationKey = this->plan.choice.IncarnationKey();
+  const std::uint64_t changes = this->state.leavingChanges;
+  if (changes != this->seenLeavingChanges) {
+    this->seenLeavingChanges = changes;
     this->engineLeaving = this->state.router.WithLock([&](Router& aRouter) {
-      const Engine* engine = aRouter.FindIncarnation(life);
-      return engine != nullptr && engine->report.leaving;
+      const Engine* found = aRouter.FindIncarnation(incarnationKey);
+      return found != nullptr && found->report.leaving;
     });
   }
-  // The last token needs no move.
-  const bool ending =
+  // Before the last token a migration has no use.
+  const bool isLastToken =
     this->response.TokenCount() + 1 >= this->plan.request.maxTokens;
-  if (!this->engineLeaving || ending) {
+  if (!this->engineLeaving || isLastToken) {
     return false;
   }
-  return this->state.factTables.WithLock([&](FactTables& aCaution) {
+  return this->state.factTables.WithLock([&](FactTables& aTables) {
     const RequestId& request = this->plan.request.id;
-    aCaution.migrations.AddOrUpdate(life, request, this->response.TokenCount());
-    return aCaution.migrations.TryStart(life, request);
+    aTables.migrations.AddOrUpdate(
+      incarnationKey, request, this->response.TokenCount());
+    return aTables.migrations.TryStart(incarnationKey, request);
   });
 }
 
 void
-ModelAttempt::LeaveMigrationQueue(const std::string& aLife)
+ModelAttempt::LeaveMigrationQueue(const std::string& aIncarnationKey)
 {
-  this->state.factTables.WithLock([&](FactTables& aCaution) {
-    aCaution.migrations.Remove(aLife, this->plan.request.id);
+  this->state.factTables.WithLock([&](FactTables& aTables) {
+    aTables.migrations.Remove(aIncarnationKey, this->plan.request.id);
   });
 }
 
--- a/src/daemon/ModelAttempt.h
+++ b/src/daemon/ModelAttempt.h
@@ -1,5 +1,5 @@
 /** \file
- * One attempt to answer a model request on one engine.
+ * One attempt to run a model request on one engine.
  */
 #pragma once
 
@@ -15,7 +15,8 @@
 
 namespace toucanshed {
 
-/** Takes each new token; false when the caller has gone. */
+/** Called with each new token; returns false if the caller has
+ * disconnected. */
 using TokenSink = std::function<Task<bool>(const std::string&)>;
 
 /** How one attempt on one engine ended. */
@@ -26,18 +27,18 @@
   eRejected,
   eUnreachable,
   eFailed,
-  eStalled,     // silent, or cut while the engine lives on
-  eMigrating,   // left an engine that is being reclaimed
-  eHandingOver, // this daemon must stop
+  eStalled,     // timed out or cut, but the engine is alive
+  eMigrating,   // the engine is being reclaimed
+  eHandingOver, // this daemon is stopping
   eCrashed,
 };
 
-/** As in metrics: "whole", "caller_gone" and so on. */
+/** The value of the metric label: "whole", "caller_gone" and so on. */
 std::string
-ToText(AttemptStatus aEnd);
+ToText(AttemptStatus aStatus);
 
-/** What an attempt showed. Times in milliseconds, below zero if there are
- * none. */
+/** Status and times of an attempt. Times are in milliseconds; below zero if
+ * there is no value. */
 struct AttemptResult
 {
   AttemptStatus status = AttemptStatus::eFailed;
@@ -47,8 +48,9 @@
   double totalMs = 0;
 };
 
-/** The attempt that a stream on the move comes from. Its connection is kept
- * open until the state has been taken along, or the engine would drop it. */
+/** The attempt that a migrating stream comes from. Its connection is kept open
+ * until the state is transferred; the engine drops the state when the
+ * connection closes. */
 struct MigrationSource
 {
   EngineChoice choice;
@@ -56,52 +58,55 @@
   std::unique_ptr<EngineStream> stream;
 };
 
-/** What is to be run where. */
+/** The request of an attempt and the engine that runs it. */
 struct AttemptPlan
 {
   ModelRequest request;
   EngineChoice choice;
   int priority = 0;
-  bool mayHandOver = false; // to a peer, when this daemon must stop
+  bool mayHandOver = false; // to a peer, when this daemon is stopping
 };
 
-/** Tokens a text has, by a rule of thumb; engines do not tell beforehand. */
+/** Estimates the number of tokens of a text from its length, because engines
+ * do not report it in advance. */
 std::uint64_t
 EstimateTokens(const std::string& aText);
 
 /**
- * Goes on from the tokens that the answer has, reads the engine's stream into
- * it, and finds out what an unclear end was: a connection lost track of, or an
- * engine that is gone.
+ * Continues after the tokens that the response has, and reads the engine's
+ * stream into the response. If the end is unclear, it finds out whether only
+ * the connection was lost or the engine has crashed.
  *
  * Thread safety: none; belongs to its worker.
  */
 class ModelAttempt
 {
 public:
-  /** The answer and the sink outlive the attempt. */
+  /** Precondition: the response and the sink outlive the attempt. */
   ModelAttempt(DaemonState& aState,
                Worker& aWorker,
                AttemptPlan aPlan,
-               ResponseAssembler& aAnswer,
+               ResponseAssembler& aResponse,
                TokenSink& aSink);
 
   /** Runs the attempt once.
-   * \param aOrigin where the stream comes from if it is on the move; set when
-   *   the attempt ends as eMoving, and taken otherwise. */
-  Task<AttemptResult> Run(std::optional<MigrationSource>& aOrigin);
+   * \param aSource the source of a migrating stream. Its state is transferred
+   *   first, and it is reset then. It is set if the attempt ends as
+   *   eMigrating. */
+  Task<AttemptResult> Run(std::optional<MigrationSource>& aSource);
 
 private:
-  /** Brings a moving stream's state to this engine. */
-  Task<void> TransferState(std::optional<MigrationSource>& aOrigin);
+  /** Transfers a migrating stream's state to this engine. */
+  Task<void> TransferState(std::optional<MigrationSource>& aSource);
   Task<AttemptStatus> ReadTokens(EngineStream& aStream);
-  AttemptStatus HandleDone(const EngineEvent& aEvent, std::uint64_t aBefore);
+  AttemptStatus HandleDone(const EngineEvent& aEvent,
+                           std::uint64_t aTokensBefore);
   Task<std::optional<AttemptStatus>> HandleToken(const EngineEvent& aEvent);
   AttemptStatus StatusOf(const EngineError& aError);
   Task<bool> IsEngineAlive();
-  /** Whether the engine is leaving and this stream's turn to go has come. */
+  /** Whether the engine is leaving and this stream may migrate now. */
   bool MayMigrate();
-  void LeaveMigrationQueue(const std::string& aLife);
+  void LeaveMigrationQueue(const std::string& aIncarnationKey);
   [[nodiscard]] double ElapsedMs() const;
 
   DaemonState& state;
@@ -114,7 +119,7 @@
   std::chrono::steady_clock::time_point start;
   double lastTokenMs = 0;
   std::uint64_t seenLeavingChanges = 0;
-  bool engineLeaving = false; // the engine is leaving
+  bool engineLeaving = false;
 };
 
 } // namespace toucanshed
--- a/src/daemon/ModelCall.cpp
+++ b/src/daemon/ModelCall.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Millis kProbeTimeout{ 400 };
-/** An engine that crashed or cannot be reached is left alone this long; the
- * platform's list and its own reports bring it back. */
+/** A crashed engine gets no requests for this time. The platform's list and
+ * the engine's own reports make it available again. */
 constexpr Millis kCrashBackoff{ 5000 };
 constexpr Millis kRejectionBackoff{ 1000 };
 constexpr Millis kPollInterval{ 20 };
@@ -18,9 +18,10 @@
 constexpr const char* kCrashReason =
   "this request crashed the back ends that ran it";
 constexpr std::uint64_t kRejectedRetryAfterSeconds = 600;
-/** The prompt's beginning that decides where it is likely to be cached. */
+/** Length of the prompt prefix whose hash selects the engine that has probably
+ * cached it. */
 constexpr std::size_t kPrefixBytes = 250;
-/** Time for other daemons to hear that an engine is reserved. */
+/** Time for the reservation of an engine to reach the other daemons. */
 constexpr Millis kReservationPropagationTime{ 700 };
 constexpr Millis kReservationTime{ 15000 };
 
@@ -40,8 +41,8 @@
 SuspectLevel
 ModelCall::CurrentSuspectLevel() const
 {
-  return this->state.factTables.WithLock([&](FactTables& aCaution) {
-    return SuspectTable::LevelOf(aCaution.facts, this->request.fingerprint);
+  return this->state.factTables.WithLock([&](FactTables& aTables) {
+    return SuspectTable::LevelOf(aTables.facts, this->request.fingerprint);
   });
 }
 
@@ -60,8 +61,8 @@
 {
   while (!this->holdsSerialSlot) {
     this->holdsSerialSlot =
-      this->state.factTables.WithLock([&](FactTables& aCaution) {
-        return aCaution.suspects.TryStart(this->request.fingerprint);
+      this->state.factTables.WithLock([&](FactTables& aTables) {
+        return aTables.suspects.TryStart(this->request.fingerprint);
       });
     if (this->holdsSerialSlot) {
       break;
@@ -79,8 +80,8 @@
 {
   if (this->holdsSerialSlot) {
     this->holdsSerialSlot = false;
-    this->state.factTables.WithLock([&](FactTables& aCaution) {
-      aCaution.suspects.RecordEnd(this->request.fingerprint);
+    this->state.factTables.WithLock([&](FactTables& aTables) {
+      aTables.suspects.RecordEnd(this->request.fingerprint);
     });
   }
 }
@@ -88,10 +89,11 @@
 void
 ModelCall::ResumeFrom(const std::vector<std::string>& aTokens)
 {
-  const AttemptId handed{ "handed-over" };
-  this->response.BeginAttempt(handed);
+  const AttemptId handoverAttempt{ "handed-over" };
+  this->response.BeginAttempt(handoverAttempt);
   for (const std::string& token : aTokens) {
-    this->response.AddToken(handed.value, this->response.TokenCount(), token);
+    this->response.AddToken(
+      handoverAttempt.value, this->response.TokenCount(), token);
   }
 }
 
@@ -100,39 +102,39 @@
 {
   this->state.retryBudget.WithLock(
     [](RetryBudget& aBudget) { aBudget.RecordRequest(); });
-  RequestResult end = co_await this->RunAttempts();
+  RequestResult result = co_await this->RunAttempts();
   if (this->migrationSource) {
-    // It gave up between two engines.
-    this->state.factTables.WithLock([&](FactTables& aCaution) {
-      aCaution.migrations.Remove(this->migrationSource->choice.IncarnationKey(),
-                                 this->request.id);
+    // The request ended while its stream migrated between two engines.
+    this->state.factTables.WithLock([&](FactTables& aTables) {
+      aTables.migrations.Remove(this->migrationSource->choice.IncarnationKey(),
+                                this->request.id);
     });
   }
   this->ReleaseSerialSlot();
-  co_return end;
+  co_return result;
 }
 
 Task<RequestResult>
 ModelCall::RunAttempts()
 {
   while (this->attempts < kMaxAttempts) {
-    const TargetOrFailure place = co_await this->FindTarget();
-    if (!place) {
-      co_return place.error();
+    const TargetOrFailure target = co_await this->FindTarget();
+    if (!target) {
+      co_return target.error();
     }
     ++this->attempts;
     ModelAttempt attempt(
       this->state,
       this->worker,
       AttemptPlan{
-        this->request, place->choice, place->priority, this->mayHandOver },
+        this->request, target->choice, target->priority, this->mayHandOver },
       this->response,
       this->sink);
     const AttemptResult result = co_await attempt.Run(this->migrationSource);
     this->sent = this->sent || result.sent;
-    this->RecordAttempt(place->choice, result);
-    if (place->slot) {
-      this->state.admission.Release(*place->slot);
+    this->RecordAttempt(target->choice, result);
+    if (target->slot) {
+      this->state.admission.Release(*target->slot);
     }
     if (result.status == AttemptStatus::eComplete) {
       co_return RequestResult{ RequestOutcome::eCompleted, {}, 0 };
@@ -151,9 +153,9 @@
     if (result.status == AttemptStatus::eMigrating) {
       continue;
     }
-    this->triedEngines.insert(place->choice.IncarnationKey());
+    this->triedEngines.insert(target->choice.IncarnationKey());
     if (result.status == AttemptStatus::eCrashed) {
-      this->RecordCrash(place->choice);
+      this->RecordCrash(target->choice);
     }
     if (!this->CanRetry(result.status)) {
       co_return this->MakeFailure(
@@ -164,15 +166,17 @@
 }
 
 bool
-ModelCall::CanRetry(AttemptStatus aEnd)
+ModelCall::CanRetry(AttemptStatus aStatus)
 {
-  // Going on with an answer that a caller is reading, and a request that no
-  // engine has taken, are no retries of failed work.
-  const bool free = aEnd == AttemptStatus::eRejected ||
-                    aEnd == AttemptStatus::eUnreachable ||
-                    this->response.TokenCount() > 0;
-  return free || this->state.retryBudget.WithLock(
-                   [](RetryBudget& aBudget) { return aBudget.TryTakeRetry(); });
+  // The retry budget counts only retries of failed work. It does not count
+  // the continuation of a response that a caller is reading, nor a request
+  // that no engine has accepted.
+  const bool isFree = aStatus == AttemptStatus::eRejected ||
+                      aStatus == AttemptStatus::eUnreachable ||
+                      this->response.TokenCount() > 0;
+  return isFree || this->state.retryBudget.WithLock([](RetryBudget& aBudget) {
+    return aBudget.TryTakeRetry();
+  });
 }
 
 VersionId
@@ -230,16 +234,17 @@
   item.deadline = this->request.deadline;
   const VersionId version = this->SelectVersion();
   this->ResetTriedIfExhausted(version);
-  auto place = co_await this->state.admission.Admit(
+  auto slot = co_await this->state.admission.Admit(
     this->worker, this->MakeRouteRequest(version), item);
-  if (place) {
-    co_return ExecutionTarget{ place->choice, place->priority, *place };
+  if (slot) {
+    co_return ExecutionTarget{ slot->choice, slot->priority, *slot };
   }
-  const bool full = place.error() == AdmissionError::eQueueFull;
-  RequestResult end = this->MakeFailure(
-    full ? "the team's queue is full" : "no place in time", full ? 2 : 1);
-  end.teamQueueFull = full;
-  co_return tl::unexpected<RequestResult>(std::move(end));
+  const bool queueFull = slot.error() == AdmissionError::eQueueFull;
+  RequestResult result = this->MakeFailure(
+    queueFull ? "the team's queue is full" : "no place in time",
+    queueFull ? 2 : 1);
+  result.teamQueueFull = queueFull;
+  co_return tl::unexpected<RequestResult>(std::move(result));
 }
 
 void
@@ -248,17 +253,19 @@
   if (this->triedEngines.empty()) {
     return;
   }
-  // With every engine tried, waiting for another would use up the caller's
-  // time for nothing; one that failed may well work again.
+  // If every engine has been tried, waiting for another one would only use up
+  // the caller's time. An engine that failed may work on the next attempt.
   const TimePoint now = this->state.Now();
-  const auto lives = this->state.router.WithLock([&](Router& aRouter) {
+  const auto incarnations = this->state.router.WithLock([&](Router& aRouter) {
     return aRouter.AvailableIncarnations(this->request.service, aVersion, now);
   });
-  const bool all =
-    std::all_of(lives.begin(), lives.end(), [&](const std::string& aLife) {
-      return this->triedEngines.count(aLife) != 0;
-    });
-  if (all) {
+  const bool allTried =
+    std::all_of(incarnations.begin(),
+                incarnations.end(),
+                [&](const std::string& aIncarnationKey) {
+                  return this->triedEngines.count(aIncarnationKey) != 0;
+                });
+  if (allTried) {
     this->triedEngines.clear();
   }
 }
@@ -267,37 +274,39 @@
 ModelCall::FindIsolatedTarget()
 {
   const VersionId version = this->SelectVersion();
-  const std::string print = std::to_string(this->request.fingerprint.value);
+  const std::string fingerprint =
+    std::to_string(this->request.fingerprint.value);
   while (this->state.Now() < this->request.deadline) {
     const TimePoint now = this->state.Now();
-    auto lives = this->state.router.WithLock([&](Router& aRouter) {
+    auto incarnations = this->state.router.WithLock([&](Router& aRouter) {
       return aRouter.AvailableIncarnations(this->request.service, version, now);
     });
-    std::erase_if(lives, [&](const std::string& aLife) {
-      return !this->HasIsolationPriorityOn(aLife);
+    std::erase_if(incarnations, [&](const std::string& aIncarnationKey) {
+      return !this->HasIsolationPriorityOn(aIncarnationKey);
     });
-    const std::string life = RendezvousOwner(print, lives);
-    if (life.empty()) {
+    const std::string incarnationKey =
+      RendezvousOwner(fingerprint, incarnations);
+    if (incarnationKey.empty()) {
       co_await Sleep(kPollInterval);
       continue;
     }
-    // The fact keeps new requests off the engine at every daemon; it is empty
-    // once those that were there have ended.
+    // The fact stops every daemon from sending new requests to the engine. The
+    // engine is idle once its present requests have ended.
     this->state.PublishFact(SuspectTable::IsolationFact(
-      this->request.fingerprint, life, now + kReservationTime));
+      this->request.fingerprint, incarnationKey, now + kReservationTime));
     ApplyReservations(this->state);
     co_await Sleep(kReservationPropagationTime);
     if (this->CurrentSuspectLevel() == SuspectLevel::eRejected) {
       break;
     }
-    if (!this->HasIsolationPriorityOn(life)) {
+    if (!this->HasIsolationPriorityOn(incarnationKey)) {
       continue;
     }
-    const auto choice = co_await this->TakeIdleEngine(life);
+    const auto choice = co_await this->TakeIdleEngine(incarnationKey);
     if (choice) {
       this->state.events.Emit(Event("request.alone")
                                 .With("request", this->request.id)
-                                .With("engine", life));
+                                .With("engine", incarnationKey));
       co_return ExecutionTarget{ *choice, 1, std::nullopt };
     }
   }
@@ -308,36 +317,38 @@
 }
 
 bool
-ModelCall::HasIsolationPriorityOn(const std::string& aLife) const
+ModelCall::HasIsolationPriorityOn(const std::string& aIncarnationKey) const
 {
-  return this->state.factTables.WithLock([&](FactTables& aCaution) {
+  return this->state.factTables.WithLock([&](FactTables& aTables) {
     return SuspectTable::HasIsolationPriority(
-      aCaution.facts, this->request.fingerprint, aLife);
+      aTables.facts, this->request.fingerprint, aIncarnationKey);
   });
 }
 
 Task<std::optional<EngineChoice>>
-ModelCall::TakeIdleEngine(std::string aLife)
+ModelCall::TakeIdleEngine(std::string aIncarnationKey)
 {
-  // The reports at hand are old. Asked now, an engine that has been replaced
-  // is not taken for the one that was reserved: a crash would be counted
-  // against the wrong life, and one crash more allowed than there should be.
+  // The router's reports may be outdated, so a current one is fetched. Without
+  // it, an engine that has been replaced could be mistaken for the reserved
+  // one. A crash would then be counted for the wrong incarnation, and the
+  // request could crash one engine more than allowed.
   EngineReport known;
   this->state.router.WithLock([&](Router& aRouter) {
-    if (const Engine* engine = aRouter.FindIncarnation(aLife)) {
+    if (const Engine* engine = aRouter.FindIncarnation(aIncarnationKey)) {
       known = engine->report;
     }
   });
   const auto report =
     co_await FetchEngineReport(this->worker, known, kProbeTimeout);
-  const bool empty = report && IncarnationKeyOf(*report) == aLife &&
-                     report->running + report->waiting == 0;
-  if (!empty) {
+  const bool idle = report && IncarnationKeyOf(*report) == aIncarnationKey &&
+                    report->running + report->waiting == 0;
+  if (!idle) {
     co_return std::nullopt;
   }
   const TimePoint now = this->state.Now();
-  co_return this->state.router.WithLock(
-    [&](Router& aRouter) { return aRouter.PickIncarnation(aLife, now); });
+  co_return this->state.router.WithLock([&](Router& aRouter) {
+    return aRouter.PickIncarnation(aIncarnationKey, now);
+  });
 }
 
 void
@@ -365,15 +376,15 @@
                          const AttemptResult& aResult)
 {
   const TimePoint now = this->state.Now();
-  EngineResult ending;
-  ending.completed = aResult.status == AttemptStatus::eComplete;
-  ending.firstTokenMs = aResult.firstTokenMs;
-  ending.totalMs = aResult.totalMs;
-  const bool away = aResult.status == AttemptStatus::eUnreachable ||
-                    aResult.status == AttemptStatus::eRejected;
+  EngineResult engineResult;
+  engineResult.completed = aResult.status == AttemptStatus::eComplete;
+  engineResult.firstTokenMs = aResult.firstTokenMs;
+  engineResult.totalMs = aResult.totalMs;
+  const bool unavailable = aResult.status == AttemptStatus::eUnreachable ||
+                           aResult.status == AttemptStatus::eRejected;
   this->state.router.WithLock([&](Router& aRouter) {
-    aRouter.Finish(aChoice, ending);
-    if (away) {
+    aRouter.Finish(aChoice, engineResult);
+    if (unavailable) {
       aRouter.MarkDown(aChoice.IncarnationKey(), now + kRejectionBackoff);
     }
   });
@@ -385,28 +396,30 @@
   if (aResult.meanTokenGapMs >= 0) {
     this->state.metrics.RecordTokenGap(aResult.meanTokenGapMs);
   }
-  // That an engine was reclaimed says nothing of its version.
+  // The crash of a reclaimed engine is no evidence about its version.
   const bool reclaimed =
     aResult.status == AttemptStatus::eCrashed &&
     this->state.HasFact(LeavingFact(aChoice.IncarnationKey()));
-  const bool says = aResult.status == AttemptStatus::eComplete ||
-                    aResult.status == AttemptStatus::eFailed ||
-                    (aResult.status == AttemptStatus::eCrashed && !reclaimed);
-  if (!says) {
+  const bool isEvidence =
+    aResult.status == AttemptStatus::eComplete ||
+    aResult.status == AttemptStatus::eFailed ||
+    (aResult.status == AttemptStatus::eCrashed && !reclaimed);
+  if (!isEvidence) {
     return;
   }
   Observation observation;
   observation.error = aResult.status != AttemptStatus::eComplete;
   observation.firstTokenMs = aResult.firstTokenMs;
   observation.meanGapMs = aResult.meanTokenGapMs;
-  const auto old = RecordObservation(this->state,
-                                     this->request.service,
-                                     aChoice.version,
-                                     this->request.route,
-                                     observation);
-  if (observation.error && old) {
-    // A fault of the new version is not the caller's to bear.
-    this->pinnedVersion = *old;
+  const auto previousVersion = RecordObservation(this->state,
+                                                 this->request.service,
+                                                 aChoice.version,
+                                                 this->request.route,
+                                                 observation);
+  if (observation.error && previousVersion) {
+    // A failure of the new version must not reach the caller, so the request
+    // continues on the previous version.
+    this->pinnedVersion = *previousVersion;
   }
 }
 
--- a/src/daemon/ModelCall.h
+++ b/src/daemon/ModelCall.h
@@ -1,5 +1,5 @@
 /** \file
- * Carries one model request from admission to its whole answer.
+ * Runs one model request, from admission to its complete response.
  */
 #pragma once
 
@@ -15,13 +15,13 @@
 namespace toucanshed {
 
 /**
- * Tries engines until the answer is whole, always going on from the tokens
- * that are there. The caller sees one unbroken stream: failures show as a
- * pause, never as a wrong, missing or doubled token.
+ * Tries engines until the response is complete. Each attempt continues after
+ * the tokens received so far. The caller sees one uninterrupted stream: a
+ * failure shows as a pause, never as a wrong, missing or duplicate token.
  *
  * \code
  * ModelCall call(state, worker, request, sink);
- * const CallEnd end = co_await call.Run();
+ * const RequestResult result = co_await call.Run();
  * \endcode
  *
  * Thread safety: none; belongs to its worker.
@@ -35,10 +35,11 @@
             TokenSink aSink);
 
   Task<RequestResult> Run();
-  /** Goes on from tokens that another daemon had. Precondition: before Run. */
+  /** Continues after tokens that another daemon has received. Precondition:
+   * called before Run. */
   void ResumeFrom(const std::vector<std::string>& aTokens);
-  /** Allows the stream to be handed to peers when this daemon must stop, as
-   * only a caller that can resume may be left in the middle. */
+  /** Allows the stream to be handed over to peers when this daemon stops. Only
+   * for callers that can resume, because their stream is interrupted. */
   void AllowHandover() { this->mayHandOver = true; }
 
   [[nodiscard]] const ResponseAssembler& Response() const
@@ -47,32 +48,35 @@
   }
 
 private:
-  /** Where the request may go next, or why it may not. */
+  /** The engine that runs the next attempt. */
   struct ExecutionTarget
   {
     EngineChoice choice;
     int priority = 0;
-    std::optional<EngineSlot> slot; // a lone run takes no place at the gate
+    std::optional<EngineSlot> slot; // none if the request runs isolated
   };
   using TargetOrFailure = tl::expected<ExecutionTarget, RequestResult>;
 
   Task<RequestResult> RunAttempts();
   Task<TargetOrFailure> FindTarget();
   Task<TargetOrFailure> FindIsolatedTarget();
-  /** Whether no other suspect is before this one on the engine. */
-  [[nodiscard]] bool HasIsolationPriorityOn(const std::string& aLife) const;
-  /** Takes a place on an engine that is this very life and runs nothing. */
-  Task<std::optional<EngineChoice>> TakeIdleEngine(std::string aLife);
+  /** Whether no other suspect request precedes this one on the engine. */
+  [[nodiscard]] bool HasIsolationPriorityOn(
+    const std::string& aIncarnationKey) const;
+  /** Picks an engine if it still has this incarnation and runs nothing. */
+  Task<std::optional<EngineChoice>> TakeIdleEngine(std::string aIncarnationKey);
   void ResetTriedIfExhausted(const VersionId& aVersion);
   VersionId SelectVersion();
   RouteRequest MakeRouteRequest(VersionId aVersion) const;
   void RecordAttempt(const EngineChoice& aChoice, const AttemptResult& aResult);
   void RecordCrash(const EngineChoice& aChoice);
-  bool CanRetry(AttemptStatus aEnd);
+  bool CanRetry(AttemptStatus aStatus);
   RequestResult MakeFailure(const std::string& aReason,
                             std::uint64_t aRetryAfter) const;
   [[nodiscard]] SuspectLevel CurrentSuspectLevel() const;
-  /** Only one watched request of a fingerprint runs here at a time. */
+  /** Waits until no other suspect request with this fingerprint runs at this
+   * daemon.
+   * \return false if the deadline passed first. */
   Task<bool> AcquireSerialSlot();
   void ReleaseSerialSlot();
 
@@ -82,15 +86,15 @@
   TokenSink sink;
   ResponseAssembler response;
   std::set<std::string> triedEngines;
-  std::optional<VersionId> pinnedVersion; // after a canary has failed
-  bool sent = false;                      // bytes have reached an engine
+  std::optional<VersionId> pinnedVersion; // set after a canary failed
+  bool sent = false; // bytes of the request have reached an engine
   bool mayHandOver = false;
   bool holdsSerialSlot = false;
   std::optional<MigrationSource> migrationSource;
   std::size_t attempts = 0;
 };
 
-/** A sink for callers that want the whole answer at its end. */
+/** A sink for callers that get the complete response at its end. */
 Task<bool>
 AcceptToken(const std::string& aToken);
 
--- a/src/daemon/ModelRequest.h
+++ b/src/daemon/ModelRequest.h
@@ -1,5 +1,5 @@
 /** \file
- * A model request as the daemon carries it.
+ * A model request in the daemon.
  */
 #pragma once
 
--- a/src/daemon/OperatorApi.cpp
+++ b/src/daemon/OperatorApi.cpp
@@ -14,14 +14,15 @@
 
 namespace {
 
-/** With neither the log nor a peer for this long, what is in force cannot be
- * known any more, and callers are better served elsewhere. */
+/** If neither the log nor a peer is reachable for this time, the daemon's
+ * configuration may be outdated. The daemon is then not ready, so that other
+ * daemons serve its callers. */
 constexpr Millis kMaxIsolationTime{ 30000 };
 
 json::array
 MembersJson(DaemonState& aState)
 {
-  static const std::array<const char*, 4> sNames{
+  static const std::array<const char*, 4> sStatusNames{
     "alive", "suspect", "dead", "leaving"
   };
   json::array members;
@@ -30,7 +31,8 @@
       members.push_back(json::object{
         { "id", id },
         { "zone", view.member.zone() },
-        { "status", sNames.at(static_cast<std::size_t>(view.member.status())) },
+        { "status",
+          sStatusNames.at(static_cast<std::size_t>(view.member.status())) },
         { "operator_address", view.member.operator_address() } });
     }
   });
@@ -65,34 +67,35 @@
 json::array
 RolloutsJson(DaemonState& aState)
 {
-  json::array moves;
+  json::array rollouts;
   aState.control.WithLock([&](ControlReader& aReader) {
-    for (const auto& [position, move] : aReader.Table().RolloutsByRevision()) {
-      moves.push_back(json::object{ { "move", position.value },
-                                    { "service", move.service.value },
-                                    { "from", move.from.value },
-                                    { "to", move.to.value },
-                                    { "step", move.step },
-                                    { "status", ToText(move.status) },
-                                    { "reason", move.reason } });
+    for (const auto& [position, rollout] :
+         aReader.Table().RolloutsByRevision()) {
+      rollouts.push_back(json::object{ { "move", position.value },
+                                       { "service", rollout.service.value },
+                                       { "from", rollout.from.value },
+                                       { "to", rollout.to.value },
+                                       { "step", rollout.step },
+                                       { "status", ToText(rollout.status) },
+                                       { "reason", rollout.reason } });
     }
   });
-  return moves;
+  return rollouts;
 }
 
 json::array
 QueuesJson(DaemonState& aState)
 {
-  json::array lines;
-  for (const AdmissionController::QueueStatus& line :
+  json::array queues;
+  for (const AdmissionController::QueueStatus& queue :
        aState.admission.QueueStatuses()) {
-    lines.push_back(json::object{ { "service", line.service.value },
-                                  { "version", line.version.value },
-                                  { "waiting", line.waiting },
-                                  { "in_flight", line.inFlight },
-                                  { "places", line.slots } });
+    queues.push_back(json::object{ { "service", queue.service.value },
+                                   { "version", queue.version.value },
+                                   { "waiting", queue.waiting },
+                                   { "in_flight", queue.inFlight },
+                                   { "places", queue.slots } });
   }
-  return lines;
+  return queues;
 }
 
 json::object
@@ -159,7 +162,7 @@
 }
 
 HttpResponse
-EventsReply(DaemonState& aState, std::string_view aTarget)
+EventsResponse(DaemonState& aState, std::string_view aTarget)
 {
   const std::string text = QueryParamOf(aTarget, "after");
   std::uint64_t after = 0;
@@ -169,13 +172,13 @@
   for (const std::string& line : page.lines) {
     lines += line + "\n";
   }
-  HttpResponse reply = MakeResponse(200, lines, "text/plain");
-  reply.set("Newest-Event", std::to_string(page.latestNumber));
-  return reply;
+  HttpResponse response = MakeResponse(200, lines, "text/plain");
+  response.set("Newest-Event", std::to_string(page.latestNumber));
+  return response;
 }
 
 HttpResponse
-SnapshotReply(DaemonState& aState)
+SnapshotResponse(DaemonState& aState)
 {
   const auto snapshot = aState.control.WithLock([](ControlReader& aReader) {
     return aReader.IsComplete() ? aReader.Snapshot()
@@ -186,7 +189,7 @@
 }
 
 HttpResponse
-MetricsReply(DaemonState& aState, const PeerExchange& aPeers)
+MetricsResponse(DaemonState& aState, const PeerExchange& aPeers)
 {
   std::string text = aState.metrics.ToPrometheusText();
   const auto gauge = [&](const char* aName, std::uint64_t aValue) {
@@ -209,9 +212,9 @@
   if (aState.stopping || !aState.controlLoaded) {
     return false;
   }
-  const bool logHeard =
+  const bool logReachable =
     aState.Now().ms - aState.logLastReadMs < kMaxIsolationTime.count();
-  return logHeard || aState.membership.WithLock([](Membership& aMembers) {
+  return logReachable || aState.membership.WithLock([](Membership& aMembers) {
     return aMembers.LiveMembers().size() > 1;
   });
 }
@@ -224,38 +227,39 @@
                HttpResponder& aResponder)
 {
   const std::string_view path = PathOf(aRequest.target());
-  HttpResponse reply = MakeResponse(404, "{\"error\":\"no such page\"}\n");
+  HttpResponse response = MakeResponse(404, "{\"error\":\"no such page\"}\n");
   if (path == "/healthz") {
-    reply = MakeResponse(200, "ok\n", "text/plain");
+    response = MakeResponse(200, "ok\n", "text/plain");
   } else if (path == "/readyz") {
     const bool ready = IsReady(aState);
-    reply = MakeResponse(
+    response = MakeResponse(
       ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "text/plain");
   } else if (path == "/metrics") {
-    reply = MetricsReply(aState, aPeers);
+    response = MetricsResponse(aState, aPeers);
   } else if (path == "/status") {
-    reply = MakeResponse(200, StatusJson(aState, aPeers));
+    response = MakeResponse(200, StatusJson(aState, aPeers));
   } else if (path == "/events") {
-    reply = EventsReply(aState, aRequest.target());
+    response = EventsResponse(aState, aRequest.target());
   } else if (path == "/moves") {
-    reply = MakeResponse(200, json::serialize(RolloutsJson(aState)) + "\n");
+    response = MakeResponse(200, json::serialize(RolloutsJson(aState)) + "\n");
   } else if (path == "/applied") {
-    reply = MakeResponse(200, std::to_string(AppliedRevision(aState)) + "\n");
+    response =
+      MakeResponse(200, std::to_string(AppliedRevision(aState)) + "\n");
   } else if (path == "/handed-over") {
     const RequestId request{ QueryParamOf(aRequest.target(), "request") };
     const std::string bytes = SerializeHandedOver(aState, request);
-    reply =
+    response =
       MakeResponse(bytes.empty() ? 404 : 200, bytes, "application/x-protobuf");
   } else if (path == "/control-snapshot") {
-    reply = SnapshotReply(aState);
+    response = SnapshotResponse(aState);
   } else if (path == "/config") {
     if (aRequest.method() == http::verb::post) {
-      reply = co_await ApplyConfigChange(aState, aWorker, aRequest);
+      response = co_await ApplyConfigChange(aState, aWorker, aRequest);
     } else {
-      reply = MakeResponse(200, json::serialize(ConfigJson(aState)) + "\n");
+      response = MakeResponse(200, json::serialize(ConfigJson(aState)) + "\n");
     }
   }
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
 } // namespace toucanshed
--- a/src/daemon/OperatorApi.h
+++ b/src/daemon/OperatorApi.h
@@ -1,5 +1,5 @@
 /** \file
- * The operators' port: health, state, metrics, events, configuration.
+ * The operators' port: health, status, metrics, events, configuration.
  */
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace toucanshed {
 
-/** Whether callers may be sent here. Thread safety: any thread. */
+/** Whether this daemon can serve callers. Thread safety: any thread. */
 bool
 IsReady(DaemonState& aState);
 
-/** Answers one request of an operator or of the platform's balancer. Thread
+/** Handles one request of an operator or of the platform's balancer. Thread
  * safety: may be called on any worker. */
 Task<void>
 HandleOperator(DaemonState& aState,
--- a/src/daemon/PeerExchange.cpp
+++ b/src/daemon/PeerExchange.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 constexpr Millis kTickInterval{ 300 };
-/** Peers that are told of a fact the moment it is stated, and by each daemon
- * that hears of it. */
+/** Number of peers that get a fact when it is published. */
 constexpr std::size_t kInitialFanout = 8;
+/** Number of peers to which a daemon forwards a fact that it receives as new.
+ */
 constexpr std::size_t kForwardFanout = 2;
 }
 
@@ -44,9 +45,9 @@
 {
   this->state.gossipFacts = [this] { this->GossipFacts(kInitialFanout); };
   this->state.sendToPeer = [this](OutgoingEnvelope aMessage) {
-    std::vector<OutgoingEnvelope> one;
-    one.push_back(std::move(aMessage));
-    this->Send(std::move(one));
+    std::vector<OutgoingEnvelope> messages;
+    messages.push_back(std::move(aMessage));
+    this->Send(std::move(messages));
   };
   auto started = this->socket.Start();
   if (started) {
@@ -66,8 +67,8 @@
 {
   const std::size_t daemons = this->state.membership.WithLock(
     [](Membership& aMembers) { return aMembers.LiveMembers().size(); });
-  this->state.factTables.WithLock([&](FactTables& aCaution) {
-    FactSet& facts = aCaution.facts;
+  this->state.factTables.WithLock([&](FactTables& aTables) {
+    FactSet& facts = aTables.facts;
     for (const FactEntry& fact :
          aAll ? facts.All() : facts.TakeForGossip(daemons)) {
       peer::Fact* sent = aEnvelope.add_facts();
@@ -96,21 +97,22 @@
 {
   const TimePoint now = this->state.Now();
   this->state.events.Clock().Observe(HybridTimestamp{ aEnvelope.stamp() });
-  auto answers = this->state.membership.WithLock(
+  auto replies = this->state.membership.WithLock(
     [&](Membership& aMembers) { return aMembers.Receive(aEnvelope, now); });
   if (aEnvelope.handovers_size() > 0) {
     StoreHandedOver(this->state, aEnvelope);
   }
-  bool news = false;
-  std::uint64_t ownHash = 0;
-  this->state.factTables.WithLock([&](FactTables& aCaution) {
+  bool anyNew = false;
+  std::uint64_t localHash = 0;
+  this->state.factTables.WithLock([&](FactTables& aTables) {
     for (const peer::Fact& fact : aEnvelope.facts()) {
       const TimePoint expires{ static_cast<std::int64_t>(fact.expires_ms()) };
-      news = aCaution.facts.Add(FactEntry{ fact.key(), expires }, now) || news;
+      anyNew =
+        aTables.facts.Add(FactEntry{ fact.key(), expires }, now) || anyNew;
     }
-    ownHash = aCaution.facts.KeysHash();
+    localHash = aTables.facts.KeysHash();
   });
-  if (news) {
+  if (anyNew) {
     for (const peer::Fact& fact : aEnvelope.facts()) {
       this->state.events.Emit(Event("fact.heard")
                                 .With("fact", fact.key())
@@ -120,20 +122,20 @@
     this->GossipFacts(kForwardFanout);
   }
   this->MergeEvidence(aEnvelope);
-  // Sets that differ are sent whole, once per exchange: the sender's answer
-  // carries FACTS, which is not answered again.
-  const bool differ = ownHash != aEnvelope.facts_hash();
+  // If the two sets differ, the whole set is sent, once per exchange: only an
+  // ACK triggers it, and it is sent as FACTS, which gets no such reply.
+  const bool differ = localHash != aEnvelope.facts_hash();
   if (differ && aEnvelope.kind() == peer::Envelope::ACK) {
-    OutgoingEnvelope all;
-    all.address = aEnvelope.from().address();
-    all.envelope.set_kind(peer::Envelope::FACTS);
+    OutgoingEnvelope allFacts;
+    allFacts.address = aEnvelope.from().address();
+    allFacts.envelope.set_kind(peer::Envelope::FACTS);
     this->state.membership.WithLock([&](Membership& aMembers) {
-      *all.envelope.mutable_from() = aMembers.Self();
+      *allFacts.envelope.mutable_from() = aMembers.Self();
     });
-    this->AttachFacts(all.envelope, true);
-    answers.push_back(std::move(all));
+    this->AttachFacts(allFacts.envelope, true);
+    replies.push_back(std::move(allFacts));
   }
-  this->Send(std::move(answers));
+  this->Send(std::move(replies));
 }
 
 void
@@ -142,10 +144,11 @@
   if (aEnvelope.evidence_size() == 0) {
     return;
   }
-  // A late message about a move that has ended would be kept for ever.
+  // Evidence of ended rollouts is dropped: a late message would otherwise stay
+  // in the table forever.
   std::set<Position> running;
-  for (const RunningRollout& move : RunningRollouts(this->state)) {
-    running.insert(move.state.rollout);
+  for (const RunningRollout& rollout : RunningRollouts(this->state)) {
+    running.insert(rollout.state.rollout);
   }
   this->state.evidence.WithLock([&](EvidenceTable& aEvidence) {
     for (const peer::Evidence& evidence : aEnvelope.evidence()) {
@@ -159,18 +162,18 @@
 void
 PeerExchange::SendEvidence()
 {
-  for (const RunningRollout& move : RunningRollouts(this->state)) {
-    const auto own =
+  for (const RunningRollout& rollout : RunningRollouts(this->state)) {
+    const auto localEvidence =
       this->state.evidence.WithLock([&](EvidenceTable& aEvidence) {
-        return aEvidence.LocalEvidence(move.state.rollout);
+        return aEvidence.LocalEvidence(rollout.state.rollout);
       });
-    if (own.empty()) {
+    if (localEvidence.empty()) {
       continue;
     }
     std::vector<OutgoingEnvelope> messages;
     this->state.membership.WithLock([&](Membership& aMembers) {
       for (const std::string& owner :
-           RolloutOwners(move, aMembers.EligibleOwners())) {
+           RolloutOwners(rollout, aMembers.EligibleOwners())) {
         const auto found = aMembers.Others().find(owner);
         if (found == aMembers.Others().end()) {
           continue;
@@ -179,7 +182,7 @@
         message.address = found->second.member.address();
         message.envelope.set_kind(peer::Envelope::FACTS);
         *message.envelope.mutable_from() = aMembers.Self();
-        for (const peer::Evidence& evidence : own) {
+        for (const peer::Evidence& evidence : localEvidence) {
           *message.envelope.add_evidence() = evidence;
         }
         messages.push_back(std::move(message));
@@ -194,9 +197,9 @@
 {
   while (true) {
     const TimePoint now = this->state.Now();
-    this->state.factTables.WithLock([&](FactTables& aCaution) {
-      aCaution.facts.Expire(now);
-      aCaution.handovers.Expire(now);
+    this->state.factTables.WithLock([&](FactTables& aTables) {
+      aTables.facts.Expire(now);
+      aTables.handovers.Expire(now);
     });
     auto messages = this->state.membership.WithLock(
       [&](Membership& aMembers) { return aMembers.Tick(now); });
--- a/src/daemon/PeerExchange.h
+++ b/src/daemon/PeerExchange.h
@@ -1,5 +1,5 @@
 /** \file
- * The daemon's talk with its peers: membership, facts, evidence.
+ * The daemon's messages to and from its peers: membership, facts, evidence.
  */
 #pragma once
 
@@ -11,9 +11,11 @@
 namespace toucanshed {
 
 /**
- * Sends a few small messages a second, whatever the number of daemons; facts
- * ride on the probes. Thread safety: Start and Stop once; the rest is called
- * from the socket's thread and the given worker.
+ * Sends a few small messages a second, independent of the number of daemons.
+ * Facts are attached to the membership probes.
+ *
+ * Thread safety: Start and Stop are called once; the rest is called from the
+ * socket's thread and the given worker.
  */
 class PeerExchange
 {
@@ -22,7 +24,7 @@
 
   Result<void> Start(Worker& aWorker);
   void Stop();
-  /** Tells peers at once that this daemon is leaving. */
+  /** Announces to peers without delay that this daemon is leaving. */
   void AnnounceLeaving();
 
   [[nodiscard]] const PeerTraffic& Traffic() const
@@ -33,7 +35,7 @@
 private:
   void Receive(const peer::Envelope& aEnvelope);
   void Send(std::vector<OutgoingEnvelope> aMessages);
-  /** Sends fresh facts to peers now, not with the next probe. */
+  /** Sends new facts to peers now, not with the next probe. */
   void GossipFacts(std::size_t aPeers);
   void AttachFacts(peer::Envelope& aEnvelope, bool aAll);
   void SendEvidence();
--- a/src/daemon/PlainCall.cpp
+++ b/src/daemon/PlainCall.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxTries = 4;
 constexpr unsigned kFirstServerError = 500;
 
-/** How one sending of a call ended. */
+/** How one attempt to send a call ended. */
 enum class SendStatus
 {
   eResponded,
@@ -32,26 +32,26 @@
 PlainCallResult
 FailedWith(RequestOutcome aOutcome, std::string aReason)
 {
-  PlainCallResult end;
-  end.result = RequestResult{ aOutcome, std::move(aReason), 1 };
-  return end;
+  PlainCallResult callResult;
+  callResult.result = RequestResult{ aOutcome, std::move(aReason), 1 };
+  return callResult;
 }
 
 PlainCallResult
-CompletedWith(ClaimOutcome aAnswer)
+CompletedWith(ClaimOutcome aResponse)
 {
-  PlainCallResult end;
-  end.result = RequestResult{ RequestOutcome::eCompleted, {}, 0 };
-  end.response = std::move(aAnswer);
-  return end;
+  PlainCallResult callResult;
+  callResult.result = RequestResult{ RequestOutcome::eCompleted, {}, 0 };
+  callResult.response = std::move(aResponse);
+  return callResult;
 }
 
 PlainCallResult
-InvalidRequest(std::string aText)
+InvalidRequest(std::string aMessage)
 {
-  PlainCallResult end = FailedWith(RequestOutcome::eNotRun, aText);
-  end.callerError = std::move(aText);
-  return end;
+  PlainCallResult callResult = FailedWith(RequestOutcome::eNotRun, aMessage);
+  callResult.callerError = std::move(aMessage);
+  return callResult;
 }
 
 Task<SendResult>
@@ -71,48 +71,50 @@
     aRequest.method, aRequest.target, aRequest.body, aRequest.contentType);
   request.set("Attempt-Id", aAttempt.value);
   request.set("Toucanshed-Request", aRequest.id.value);
-  const bool once = !aRequest.idempotencyKey.empty();
-  if (once) {
+  const bool atMostOnce = !aRequest.idempotencyKey.empty();
+  if (atMostOnce) {
     request.set("Idempotency-Key", aRequest.idempotencyKey);
   }
   CallTimeouts timeouts;
   timeouts.connect = kConnectTimeout;
   timeouts.head = Millis(aRequest.route.timeout_ms());
   timeouts.bodyIdle = timeouts.head;
-  // A call that may not be repeated gets a new connection: on a reused one a
-  // failed send leaves open whether the back end has taken the call.
-  auto reply =
-    co_await Fetch(aWorker, *endpoint, std::move(request), timeouts, once);
-  if (!reply) {
-    const bool nothing = reply.error().phase == CallPhase::eConnect;
-    result.status = nothing ? SendStatus::eNotSent : SendStatus::eUnclear;
-    result.reason = reply.error().message;
+  // A call that may not be repeated uses a new connection. If a send fails on a
+  // reused connection, it is unknown whether the back end has received the
+  // call.
+  auto response = co_await Fetch(
+    aWorker, *endpoint, std::move(request), timeouts, atMostOnce);
+  if (!response) {
+    const bool notSent = response.error().phase == CallPhase::eConnect;
+    result.status = notSent ? SendStatus::eNotSent : SendStatus::eUnclear;
+    result.reason = response.error().message;
     co_return result;
   }
-  const std::string echo = HeaderOf(*reply, "Attempt-Id");
-  if (!echo.empty() && echo != aAttempt.value) {
+  const std::string echoedAttempt = HeaderOf(*response, "Attempt-Id");
+  if (!echoedAttempt.empty() && echoedAttempt != aAttempt.value) {
     aState.metrics.Count("toucanshed_crossed_answers_total");
     result.reason = "the answer belongs to another attempt";
     co_return result;
   }
   result.status = SendStatus::eResponded;
-  result.response = ClaimOutcome{
-    false, reply->result_int(), HeaderOf(*reply, "Content-Type"), reply->body()
-  };
+  result.response = ClaimOutcome{ false,
+                                  response->result_int(),
+                                  HeaderOf(*response, "Content-Type"),
+                                  response->body() };
   co_return result;
 }
 
 std::optional<EngineChoice>
 PickBackend(DaemonState& aState,
             const PlainRequest& aRequest,
-            const std::set<std::string>& aAvoid)
+            const std::set<std::string>& aExcluded)
 {
   RouteRequest route;
   route.service = aRequest.service;
   route.version = ChooseVersion(CurrentShares(aState, aRequest.service),
                                 Hash64(aRequest.id.value));
   route.zone = aState.settings.zone;
-  route.excluded = aAvoid;
+  route.excluded = aExcluded;
   const TimePoint now = aState.Now();
   return aState.router.WithLock(
     [&](Router& aRouter) { return aRouter.Pick(route, now); });
@@ -125,15 +127,15 @@
                  const SendResult& aResult,
                  double aMs)
 {
-  EngineResult ending;
-  ending.completed = aResult.status == SendStatus::eResponded;
-  ending.firstTokenMs = ending.completed ? aMs : -1;
-  ending.totalMs = aMs;
-  const TimePoint until = aState.Now() + kFailureBackoff;
+  EngineResult engineResult;
+  engineResult.completed = aResult.status == SendStatus::eResponded;
+  engineResult.firstTokenMs = engineResult.completed ? aMs : -1;
+  engineResult.totalMs = aMs;
+  const TimePoint downUntil = aState.Now() + kFailureBackoff;
   aState.router.WithLock([&](Router& aRouter) {
-    aRouter.Finish(aChoice, ending);
+    aRouter.Finish(aChoice, engineResult);
     if (aResult.status == SendStatus::eNotSent) {
-      aRouter.MarkDown(aChoice.IncarnationKey(), until);
+      aRouter.MarkDown(aChoice.IncarnationKey(), downUntil);
     }
   });
   Observation observation;
@@ -147,7 +149,8 @@
                     observation);
 }
 
-/** Sends to one back end and gives its place back. */
+/** Sends a call to one back end, and records the result at the router, which
+ * releases the slot. */
 Task<SendResult>
 SendAndRecord(DaemonState& aState,
               Worker& aWorker,
@@ -187,19 +190,19 @@
     const AttemptId attempt{ aState.NewId("a") };
     const SendResult result =
       co_await SendAndRecord(aState, aWorker, aRequest, *choice, attempt);
-    const bool good = result.status == SendStatus::eResponded &&
-                      result.response.status < kFirstServerError;
-    if (good) {
+    const bool succeeded = result.status == SendStatus::eResponded &&
+                           result.response.status < kFirstServerError;
+    if (succeeded) {
       co_return CompletedWith(result.response);
     }
     sent = sent || result.status != SendStatus::eNotSent;
     reason = result.reason.empty() ? "the back end failed" : result.reason;
     tried.insert(choice->IncarnationKey());
-    const bool again = result.status == SendStatus::eNotSent ||
-                       aState.retryBudget.WithLock([](RetryBudget& aBudget) {
-                         return aBudget.TryTakeRetry();
-                       });
-    if (!again) {
+    const bool mayRetry = result.status == SendStatus::eNotSent ||
+                          aState.retryBudget.WithLock([](RetryBudget& aBudget) {
+                            return aBudget.TryTakeRetry();
+                          });
+    if (!mayRetry) {
       break;
     }
   }
@@ -209,7 +212,7 @@
 
 namespace {
 
-/** Waits until the claim has been read back, or patience ends. */
+/** Waits until the claim is read back from the log, at most kLogTimeout. */
 Task<ClaimPhase>
 AwaitReadBack(DaemonState& aState, Worker& aWorker, AttemptId aAttempt)
 {
@@ -223,7 +226,7 @@
   co_return phase;
 }
 
-/** Whether the life that claimed a call is still among the daemons. */
+/** Whether the incarnation that claimed a call is still a live daemon. */
 bool
 IsClaimantAlive(DaemonState& aState, const WriterId& aClaimant)
 {
@@ -232,8 +235,9 @@
   }
   return aState.membership.WithLock([&](Membership& aMembers) {
     for (const auto& [id, view] : aMembers.Others()) {
-      const std::string life = id + "/" + std::to_string(view.member.life());
-      if (life == aClaimant.value) {
+      const std::string incarnationKey =
+        id + "/" + std::to_string(view.member.life());
+      if (incarnationKey == aClaimant.value) {
         return view.member.status() != peer::DEAD;
       }
     }
@@ -252,8 +256,8 @@
     });
 }
 
-/** Waits for the end of a call that another attempt holds. There is no sense
- * in waiting for a claimant that is gone: nobody else may run its call. */
+/** Waits for the end of a call that another attempt has claimed. Stops waiting
+ * if the claimant is dead, because no other daemon may run its call. */
 Task<PlainCallResult>
 AwaitOtherAttempt(DaemonState& aState,
                   Worker& aWorker,
@@ -286,7 +290,7 @@
   co_return CompletedWith(*entry->outcome);
 }
 
-/** Gives an attempt up before it was sent. */
+/** Abandons an attempt that was not sent. */
 PlainCallResult
 AbandonCall(DaemonState& aState, const AttemptId& aAttempt, std::string aReason)
 {
@@ -299,9 +303,9 @@
   return FailedWith(RequestOutcome::eNotRun, std::move(aReason));
 }
 
-/** Sends an owned call, once. A back end that cannot be reached has taken
- * nothing, so another may be tried; after the first byte nothing is tried
- * again. */
+/** Sends a claimed call, at most once. A back end that is unreachable has
+ * received nothing, so another one may be tried. After the first byte was sent,
+ * there is no further attempt. */
 Task<PlainCallResult>
 SendClaimed(DaemonState& aState,
             Worker& aWorker,
@@ -321,24 +325,24 @@
     result =
       co_await SendAndRecord(aState, aWorker, aRequest, *choice, aAttempt);
   }
-  PlainCallResult end;
+  PlainCallResult callResult;
   aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
     if (result.status == SendStatus::eResponded) {
       aClaims.Complete(aAttempt, result.response);
-      end = CompletedWith(result.response);
+      callResult = CompletedWith(result.response);
     } else if (result.status == SendStatus::eUnclear) {
       aClaims.MarkUnclear(aAttempt);
-      end = FailedWith(RequestOutcome::eMayHaveRun, result.reason);
+      callResult = FailedWith(RequestOutcome::eMayHaveRun, result.reason);
     } else {
-      // Dispatched, yet no byte has left: the attempt is over and the key
-      // free again.
+      // Dispatched, but no byte was sent: the attempt ends and the key may be
+      // used again.
       aClaims.AbandonUnsent(aAttempt);
-      end = FailedWith(RequestOutcome::eNotRun, result.reason);
+      callResult = FailedWith(RequestOutcome::eNotRun, result.reason);
     }
     aClaims.Release(aAttempt);
   });
   aState.appendRequested.NotifyAll();
-  co_return end;
+  co_return callResult;
 }
 
 } // namespace
@@ -350,14 +354,15 @@
                             "/" + aRequest.idempotencyKey };
   const AttemptId attempt{ aState.NewId("a") };
   const TimePoint now = aState.Now();
-  const KeyStatus ask = aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
-    return aClaims.TryClaim(key, aRequest.fingerprint, attempt, now);
-  });
-  if (ask == KeyStatus::eOutsideWindow) {
+  const KeyStatus keyStatus =
+    aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
+      return aClaims.TryClaim(key, aRequest.fingerprint, attempt, now);
+    });
+  if (keyStatus == KeyStatus::eOutsideWindow) {
     co_return InvalidRequest("Idempotency-Key: given a time outside the window "
                              "kept, allowed a key made just now");
   }
-  if (ask != KeyStatus::eClaiming) {
+  if (keyStatus != KeyStatus::eClaiming) {
     co_return co_await AwaitOtherAttempt(aState, aWorker, aRequest, key);
   }
   aState.appendRequested.NotifyAll();
@@ -370,10 +375,10 @@
   if (phase == ClaimPhase::eClaiming) {
     co_return AbandonCall(aState, attempt, "the log does not answer");
   }
-  const TimePoint sending = aState.Now();
+  const TimePoint sendTime = aState.Now();
   const bool dispatched =
     aState.claims.WithLock([&](ClaimCoordinator& aClaims) {
-      return aClaims.Dispatch(attempt, sending);
+      return aClaims.Dispatch(attempt, sendTime);
     });
   if (!dispatched) {
     co_return AbandonCall(aState, attempt, "the key has grown too old");
--- a/src/daemon/PlainCall.h
+++ b/src/daemon/PlainCall.h
@@ -1,5 +1,5 @@
 /** \file
- * Carries one call to a plain service.
+ * Runs one call to a plain service.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
   ServiceId service;
   config::Route route;
   http::verb method = http::verb::get;
-  std::string target; // as the service sees it
+  std::string target; // path and query that the service gets
   std::string contentType;
   std::string body;
   std::string
@@ -28,23 +28,23 @@
   TimePoint deadline;
 };
 
-/** How the call ended and, if it completed, with what. */
+/** How the call ended and, if it completed, its response. */
 struct PlainCallResult
 {
   RequestResult result;
-  /** The key was used for another request, or is malformed: the caller's
-   * mistake, which waiting does not mend. */
+  /** Set if the request is invalid: its key was used for another request, or is
+   * outside the window. A retry fails in the same way. */
   std::optional<std::string> callerError;
   ClaimOutcome response;
 };
 
-/** Runs a call that may be repeated: tries back ends until one answers.
+/** Runs a call that may be repeated: tries back ends until one responds.
  * Thread safety: belongs to aWorker. */
 Task<PlainCallResult>
 RunRetryable(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
 
-/** Runs a call that may not be repeated at most once over all daemons, or
- * gives the answer that an earlier call with the key had. */
+/** Runs a call that may not be repeated, at most once over all daemons. If an
+ * earlier call has the same key, returns the response of that call. */
 Task<PlainCallResult>
 RunAtMostOnce(DaemonState& aState, Worker& aWorker, PlainRequest aRequest);
 
--- a/src/daemon/RequestResult.h
+++ b/src/daemon/RequestResult.h
@@ -8,23 +8,23 @@
 
 namespace toucanshed {
 
-/** What is said to the caller of how a request ended. */
+/** The outcome of a request as reported to the caller. */
 enum class RequestOutcome
 {
   eCompleted,
-  eNotRun,     // no back end has run any of it, and none will
-  eMayHaveRun, // a back end has run some of it
+  eNotRun,     // no back end has run any of it, or will run it
+  eMayHaveRun, // a back end may have run some of it
   eHandedOver, // peers hold the stream; the caller resumes it at any daemon
 };
 
-/** The outcome, and for one that is not "completed" why and when to come
- * back. */
+/** The outcome. If it is not eCompleted, also the reason and the time after
+ * which to retry. */
 struct RequestResult
 {
   RequestOutcome outcome = RequestOutcome::eNotRun;
   std::string reason;
   std::uint64_t retryAfterSeconds = 1;
-  bool teamQueueFull = false; // the team has too much waiting already
+  bool teamQueueFull = false; // the team's queue is full
 };
 
 } // namespace toucanshed
--- a/src/daemon/RolloutDriver.cpp
+++ b/src/daemon/RolloutDriver.cpp
@@ -10,10 +10,10 @@
 
 constexpr Millis kPollInterval{ 250 };
 constexpr Millis kRollbackFactRetention{ 24 * 3600 * 1000 };
-/** A proposal that has not been folded after this time is made again. */
+/** A proposal that is not applied after this time is made again. */
 constexpr Millis kProposalRetryInterval{ 3000 };
 
-/** What this daemon remembers of a move between looks. */
+/** This daemon's data about a rollout between two polls. */
 struct StepProgress
 {
   std::uint32_t step = 0;
@@ -33,147 +33,152 @@
 }
 
 records::Record
-MakeEndRecord(const RunningRollout& aMove,
-              bool aTakenBack,
+MakeEndRecord(const RunningRollout& aRollout,
+              bool aRolledBack,
               const std::string& aReason)
 {
   records::Record record;
   records::RolloutEnd* end = record.mutable_move_end();
-  end->set_move(aMove.state.rollout.value);
-  end->set_taken_back(aTakenBack);
+  end->set_move(aRollout.state.rollout.value);
+  end->set_taken_back(aRolledBack);
   end->set_reason(aReason);
   return record;
 }
 
 records::Record
-MakeStepRecord(const RunningRollout& aMove)
+MakeStepRecord(const RunningRollout& aRollout)
 {
   records::Record record;
   records::RolloutStep* step = record.mutable_move_step();
-  step->set_move(aMove.state.rollout.value);
-  step->set_step(aMove.state.step + 1);
+  step->set_move(aRollout.state.rollout.value);
+  step->set_step(aRollout.state.step + 1);
   return record;
 }
 
 VersionVerdict
-CompareRolloutVersions(DaemonState& aState, const RunningRollout& aMove)
+CompareRolloutVersions(DaemonState& aState, const RunningRollout& aRollout)
 {
   return aState.evidence.WithLock([&](EvidenceTable& aEvidence) {
-    const Position move = aMove.state.rollout;
-    return CompareVersions(aEvidence.Sum(move, aMove.state.from),
-                           aEvidence.Sum(move, aMove.state.to),
+    const Position rollout = aRollout.state.rollout;
+    return CompareVersions(aEvidence.Sum(rollout, aRollout.state.from),
+                           aEvidence.Sum(rollout, aRollout.state.to),
                            VersionComparisonLimits{});
   });
 }
 
 StepProgress&
-ProgressOf(ProgressByRollout& aWatches,
-           const RunningRollout& aMove,
+ProgressOf(ProgressByRollout& aProgressByRollout,
+           const RunningRollout& aRollout,
            std::uint64_t aRequests,
            TimePoint aNow)
 {
-  const auto [watch, fresh] = aWatches.try_emplace(aMove.state.rollout);
-  if (fresh || watch->second.step != aMove.state.step) {
-    watch->second =
-      StepProgress{ aMove.state.step, aNow, aRequests, TimePoint{} };
+  const auto [progress, inserted] =
+    aProgressByRollout.try_emplace(aRollout.state.rollout);
+  if (inserted || progress->second.step != aRollout.state.step) {
+    progress->second =
+      StepProgress{ aRollout.state.step, aNow, aRequests, TimePoint{} };
   }
-  return watch->second;
+  return progress->second;
 }
 
 void
 RollBack(DaemonState& aState,
-         const RunningRollout& aMove,
+         const RunningRollout& aRollout,
          const std::string& aReason)
 {
-  // The fact stops the traffic here and at every peer it reaches, now; the
-  // record makes it the move's end for good once the log takes it.
-  const bool news =
-    aState.PublishFact(FactEntry{ RollbackFact(aMove.state.rollout, aReason),
+  // The fact stops the traffic to the new version immediately, at this daemon
+  // and at every peer that it reaches. The record ends the rollout permanently
+  // once it is in the log.
+  const bool isNew =
+    aState.PublishFact(FactEntry{ RollbackFact(aRollout.state.rollout, aReason),
                                   aState.Now() + kRollbackFactRetention });
-  if (news) {
+  if (isNew) {
     aState.events.Emit(Event("move.taken_back")
-                         .With("move", aMove.state.rollout.value)
-                         .With("service", aMove.state.service)
-                         .With("version", aMove.state.to)
+                         .With("move", aRollout.state.rollout.value)
+                         .With("service", aRollout.state.service)
+                         .With("version", aRollout.state.to)
                          .With("reason", aReason));
   }
 }
 
 void
 DriveRollout(DaemonState& aState,
-             const RunningRollout& aMove,
-             ProgressByRollout& aWatches)
+             const RunningRollout& aRollout,
+             ProgressByRollout& aProgressByRollout)
 {
   const TimePoint now = aState.Now();
-  RolloutPlanInput outlook;
-  outlook.state = aMove.state;
-  outlook.spec = aMove.spec;
-  outlook.finding = CompareRolloutVersions(aState, aMove);
-  StepProgress& watch =
-    ProgressOf(aWatches, aMove, outlook.finding.requests, now);
-  outlook.stepStartedAt = watch.stepStartedAt;
-  outlook.stepRequests = outlook.finding.requests - watch.requestsAtStart;
-  if (const auto reason = RollbackReason(aState, aMove.state.rollout)) {
-    outlook.finding.bad = true;
-    outlook.finding.reason = *reason;
+  RolloutPlanInput input;
+  input.state = aRollout.state;
+  input.spec = aRollout.spec;
+  input.finding = CompareRolloutVersions(aState, aRollout);
+  StepProgress& progress =
+    ProgressOf(aProgressByRollout, aRollout, input.finding.requests, now);
+  input.stepStartedAt = progress.stepStartedAt;
+  input.stepRequests = input.finding.requests - progress.requestsAtStart;
+  if (const auto reason = RollbackReason(aState, aRollout.state.rollout)) {
+    input.finding.bad = true;
+    input.finding.reason = *reason;
   }
-  const RolloutProposal decision = PlanRollout(outlook, now);
-  const auto owners =
-    RolloutOwners(aMove, aState.membership.WithLock([](Membership& aMembers) {
+  const RolloutProposal proposal = PlanRollout(input, now);
+  const auto owners = RolloutOwners(
+    aRollout, aState.membership.WithLock([](Membership& aMembers) {
       return aMembers.EligibleOwners();
     }));
-  const bool mine =
+  const bool isOwner =
     std::find(owners.begin(), owners.end(), aState.settings.id.value) !=
     owners.end();
-  // What a daemon has seen itself may be enough to find a version bad; that
-  // the evidence is too little can only be said by those who gather it all.
-  const bool sure = outlook.finding.bad || mine;
-  if (decision.action == RolloutAction::eRollBack && sure) {
-    RollBack(aState, aMove, decision.reason);
+  // The evidence of one daemon may be enough to find a version bad. Only the
+  // owners, which collect the evidence of all daemons, can find that there is
+  // too little of it.
+  const bool mayRollBack = input.finding.bad || isOwner;
+  if (proposal.action == RolloutAction::eRollBack && mayRollBack) {
+    RollBack(aState, aRollout, proposal.reason);
   }
-  const bool due = now - watch.lastProposedAt >= kProposalRetryInterval;
-  if (!mine || !due || decision.action == RolloutAction::eWait) {
+  const bool proposalDue =
+    now - progress.lastProposedAt >= kProposalRetryInterval;
+  if (!isOwner || !proposalDue || proposal.action == RolloutAction::eWait) {
     return;
   }
-  watch.lastProposedAt = now;
-  switch (decision.action) {
+  progress.lastProposedAt = now;
+  switch (proposal.action) {
     case RolloutAction::eAdvance:
-      QueueProposal(aState, MakeStepRecord(aMove));
+      QueueProposal(aState, MakeStepRecord(aRollout));
       break;
     case RolloutAction::eRollBack:
-      QueueProposal(aState, MakeEndRecord(aMove, true, decision.reason));
+      QueueProposal(aState, MakeEndRecord(aRollout, true, proposal.reason));
       break;
     case RolloutAction::eDone:
-      QueueProposal(aState, MakeEndRecord(aMove, false, "soaked"));
+      QueueProposal(aState, MakeEndRecord(aRollout, false, "soaked"));
       break;
     case RolloutAction::eWait:
       break;
   }
 }
 
-/** Tells of moves that have ended since the last look, once each. */
+/** Emits an event for each rollout that has ended since the last poll. */
 void
-ReportEnded(DaemonState& aState, ProgressByRollout& aWatches)
+ReportEnded(DaemonState& aState, ProgressByRollout& aProgressByRollout)
 {
   std::vector<RolloutState> ended;
   aState.control.WithLock([&](ControlReader& aReader) {
-    for (const auto& [position, move] : aReader.Table().RolloutsByRevision()) {
-      if (move.status != RolloutStatus::eRunning &&
-          aWatches.count(position) != 0) {
-        ended.push_back(move);
+    for (const auto& [position, rollout] :
+         aReader.Table().RolloutsByRevision()) {
+      if (rollout.status != RolloutStatus::eRunning &&
+          aProgressByRollout.count(position) != 0) {
+        ended.push_back(rollout);
       }
     }
   });
-  for (const RolloutState& move : ended) {
-    aWatches.erase(move.rollout);
+  for (const RolloutState& rollout : ended) {
+    aProgressByRollout.erase(rollout.rollout);
     aState.evidence.WithLock(
-      [&](EvidenceTable& aEvidence) { aEvidence.Erase(move.rollout); });
+      [&](EvidenceTable& aEvidence) { aEvidence.Erase(rollout.rollout); });
     aState.events.Emit(Event("move.ended")
-                         .With("move", move.rollout.value)
-                         .With("service", move.service)
-                         .With("version", move.to)
-                         .With("status", ToText(move.status))
-                         .With("reason", move.reason));
+                         .With("move", rollout.rollout.value)
+                         .With("service", rollout.service)
+                         .With("version", rollout.to)
+                         .With("status", ToText(rollout.status))
+                         .With("reason", rollout.reason));
   }
 }
 
@@ -182,29 +187,29 @@
 std::vector<RunningRollout>
 RunningRollouts(DaemonState& aState)
 {
-  std::vector<RunningRollout> moves;
+  std::vector<RunningRollout> rollouts;
   aState.control.WithLock([&](ControlReader& aReader) {
     const ControlTable& table = aReader.Table();
     for (const auto& [service, entry] : table.Services()) {
       if (const RolloutState* running = table.FindRunningRollout(service)) {
-        moves.push_back(RunningRollout{ *running, entry.document.move() });
+        rollouts.push_back(RunningRollout{ *running, entry.document.move() });
       }
     }
   });
-  return moves;
+  return rollouts;
 }
 
 std::vector<std::string>
-RolloutOwners(const RunningRollout& aMove,
+RolloutOwners(const RunningRollout& aRollout,
               const std::vector<std::string>& aDaemons)
 {
-  const std::string key = std::to_string(aMove.state.rollout.value);
-  std::vector<std::string> left = aDaemons;
+  const std::string key = std::to_string(aRollout.state.rollout.value);
+  std::vector<std::string> remaining = aDaemons;
   std::vector<std::string> owners;
   constexpr std::size_t kOwners = 2;
-  while (!left.empty() && owners.size() < kOwners) {
-    owners.push_back(RendezvousOwner(key, left));
-    std::erase(left, owners.back());
+  while (!remaining.empty() && owners.size() < kOwners) {
+    owners.push_back(RendezvousOwner(key, remaining));
+    std::erase(remaining, owners.back());
   }
   return owners;
 }
@@ -212,12 +217,12 @@
 Task<void>
 DriveRollouts(DaemonState& aState)
 {
-  ProgressByRollout watches;
+  ProgressByRollout progressByRollout;
   while (true) {
-    for (const RunningRollout& move : RunningRollouts(aState)) {
-      DriveRollout(aState, move, watches);
+    for (const RunningRollout& rollout : RunningRollouts(aState)) {
+      DriveRollout(aState, rollout, progressByRollout);
     }
-    ReportEnded(aState, watches);
+    ReportEnded(aState, progressByRollout);
     co_await Sleep(kPollInterval);
   }
 }
--- a/src/daemon/RolloutDriver.h
+++ b/src/daemon/RolloutDriver.h
@@ -1,5 +1,5 @@
 /** \file
- * Drives the running moves: judges, takes back, proposes steps.
+ * Drives the running rollouts: compares versions, rolls back, proposes steps.
  */
 #pragma once
 
@@ -11,24 +11,24 @@
 
 namespace toucanshed {
 
-/** A running move with what its document asks. */
+/** A running rollout with the specification in its document. */
 struct RunningRollout
 {
   RolloutState state;
   config::Move spec;
 };
 
-/** Moves that run now. Thread safety: any thread. */
+/** The rollouts that run now. Thread safety: any thread. */
 std::vector<RunningRollout>
 RunningRollouts(DaemonState& aState);
 
-/** The daemons that gather a move's evidence and propose its steps: two, so
- * that one may fail. It is a hint; the log decides. */
+/** The daemons that collect a rollout's evidence and propose its steps: two, so
+ * that one may fail. The selection is only a hint; the log decides. */
 std::vector<std::string>
-RolloutOwners(const RunningRollout& aMove,
+RolloutOwners(const RunningRollout& aRollout,
               const std::vector<std::string>& aDaemons);
 
-/** Judges all moves for ever. Precondition: spawned once. */
+/** Drives all rollouts in an endless loop. Precondition: spawned once. */
 Task<void>
 DriveRollouts(DaemonState& aState);
 
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -14,17 +14,17 @@
 std::uint64_t
 CheckRange(std::uint64_t aGiven,
            std::uint64_t aDefault,
-           std::uint64_t aLeast,
-           std::uint64_t aMost,
+           std::uint64_t aMin,
+           std::uint64_t aMax,
            const char* aPath,
-           ValidationErrors& aComplaints)
+           ValidationErrors& aErrors)
 {
   const std::uint64_t value = aGiven == 0 ? aDefault : aGiven;
-  if (value < aLeast || value > aMost) {
-    aComplaints.push_back(ValidationError{ aPath,
-                                           std::to_string(aGiven),
-                                           std::to_string(aLeast) + " to " +
-                                             std::to_string(aMost) });
+  if (value < aMin || value > aMax) {
+    aErrors.push_back(
+      ValidationError{ aPath,
+                       std::to_string(aGiven),
+                       std::to_string(aMin) + " to " + std::to_string(aMax) });
   }
   return value;
 }
@@ -32,21 +32,21 @@
 void
 RequireText(const std::string& aGiven,
             const char* aPath,
-            ValidationErrors& aComplaints)
+            ValidationErrors& aErrors)
 {
   if (aGiven.empty()) {
-    aComplaints.push_back(ValidationError{ aPath, "nothing", "a value" });
+    aErrors.push_back(ValidationError{ aPath, "nothing", "a value" });
   }
 }
 
 Endpoint
 CheckEndpoint(const std::string& aGiven,
               const char* aPath,
-              ValidationErrors& aComplaints)
+              ValidationErrors& aErrors)
 {
   const auto endpoint = ParseEndpoint(aGiven);
   if (!endpoint) {
-    aComplaints.push_back(
+    aErrors.push_back(
       ValidationError{ aPath, "\"" + aGiven + "\"", "IP:PORT" });
     return {};
   }
@@ -56,26 +56,27 @@
 void
 ReadPorts(const settings::DaemonSettings& aGiven,
           Settings& aSettings,
-          ValidationErrors& aComplaints)
+          ValidationErrors& aErrors)
 {
-  constexpr std::uint64_t kMostPort = 65535;
+  constexpr std::uint64_t kMaxPort = 65535;
   const auto port = [&](std::uint32_t aPort, const char* aPath) {
-    const auto checked = CheckRange(aPort, 0, 1, kMostPort, aPath, aComplaints);
+    const auto checked = CheckRange(aPort, 0, 1, kMaxPort, aPath, aErrors);
     return aSettings.address + ":" + std::to_string(checked);
   };
-  const auto known = aComplaints.size();
+  const auto errorsBefore = aErrors.size();
   const std::string callers = port(aGiven.caller_port(), "caller_port");
   const std::string operators = port(aGiven.operator_port(), "operator_port");
   aSettings.peerAddress = port(aGiven.peer_port(), "peer_port");
-  if (aComplaints.size() > known) {
+  if (aErrors.size() > errorsBefore) {
     return;
   }
-  aSettings.callerEndpoint = CheckEndpoint(callers, "address", aComplaints);
-  aSettings.operatorEndpoint = CheckEndpoint(operators, "address", aComplaints);
-  const bool clash = callers == operators || callers == aSettings.peerAddress ||
-                     operators == aSettings.peerAddress;
-  if (clash) {
-    aComplaints.push_back(ValidationError{
+  aSettings.callerEndpoint = CheckEndpoint(callers, "address", aErrors);
+  aSettings.operatorEndpoint = CheckEndpoint(operators, "address", aErrors);
+  const bool portsClash = callers == operators ||
+                          callers == aSettings.peerAddress ||
+                          operators == aSettings.peerAddress;
+  if (portsClash) {
+    aErrors.push_back(ValidationError{
       "operator_port", "a port that is used twice", "three different ports" });
   }
 }
@@ -83,21 +84,21 @@
 void
 ReadTeams(const settings::DaemonSettings& aGiven,
           Settings& aSettings,
-          ValidationErrors& aComplaints)
+          ValidationErrors& aErrors)
 {
   constexpr std::size_t kHashDigits = 64;
   for (int i = 0; i < aGiven.teams_size(); ++i) {
     const settings::TeamToken& team = aGiven.teams(i);
     const std::string path = "teams[" + std::to_string(i) + "]";
-    RequireText(team.team(), (path + ".team").c_str(), aComplaints);
+    RequireText(team.team(), (path + ".team").c_str(), aErrors);
     const std::string& hash = team.token_sha256();
-    const bool hex =
+    const bool isValidHash =
       hash.size() == kHashDigits &&
       hash.find_first_not_of("0123456789abcdef") == std::string::npos;
-    if (!hex) {
-      aComplaints.push_back(ValidationError{ path + ".token_sha256",
-                                             "\"" + hash + "\"",
-                                             "64 lower-case hex digits" });
+    if (!isValidHash) {
+      aErrors.push_back(ValidationError{ path + ".token_sha256",
+                                         "\"" + hash + "\"",
+                                         "64 lower-case hex digits" });
     }
     aSettings.teamsByTokenHash[hash] = TeamId{ team.team() };
   }
@@ -106,22 +107,21 @@
 void
 ReadKeys(const settings::DaemonSettings& aGiven,
          Settings& aSettings,
-         ValidationErrors& aComplaints)
+         ValidationErrors& aErrors)
 {
-  constexpr std::size_t kKeyLetters = 40;
+  constexpr std::size_t kKeyLength = 40;
   aSettings.peerKeys =
     PeerKeys{ aGiven.curve().public_key(), aGiven.curve().secret_key() };
-  const auto good = [](const std::string& aKey) {
-    return aKey.empty() || aKey.size() == kKeyLetters;
+  const auto isValidLength = [](const std::string& aKey) {
+    return aKey.empty() || aKey.size() == kKeyLength;
   };
-  const bool both = aSettings.peerKeys.publicKey.empty() ==
-                    aSettings.peerKeys.secretKey.empty();
-  if (!both || !good(aSettings.peerKeys.publicKey) ||
-      !good(aSettings.peerKeys.secretKey)) {
-    aComplaints.push_back(
-      ValidationError{ "curve",
-                       "keys of other lengths, or one alone",
-                       "two keys of 40 letters, or none" });
+  const bool bothOrNone = aSettings.peerKeys.publicKey.empty() ==
+                          aSettings.peerKeys.secretKey.empty();
+  if (!bothOrNone || !isValidLength(aSettings.peerKeys.publicKey) ||
+      !isValidLength(aSettings.peerKeys.secretKey)) {
+    aErrors.push_back(ValidationError{ "curve",
+                                       "keys of other lengths, or one alone",
+                                       "two keys of 40 letters, or none" });
   }
 }
 
@@ -131,56 +131,51 @@
 ParseSettings(const std::string& aJson)
 {
   settings::DaemonSettings given;
-  ValidationErrors complaints;
+  ValidationErrors errors;
   const auto status =
     google::protobuf::util::JsonStringToMessage(aJson, &given);
   if (!status.ok()) {
-    complaints.push_back(ValidationError{ "settings",
-                                          std::string(status.message()),
-                                          "JSON of the settings schema" });
-    return tl::unexpected<ValidationErrors>(complaints);
+    errors.push_back(ValidationError{ "settings",
+                                      std::string(status.message()),
+                                      "JSON of the settings schema" });
+    return tl::unexpected<ValidationErrors>(errors);
   }
   Settings settings;
   settings.id = DaemonId{ given.id() };
   settings.zone = ZoneId{ given.zone() };
   settings.address = given.address();
-  RequireText(given.id(), "id", complaints);
-  RequireText(given.zone(), "zone", complaints);
-  ReadPorts(given, settings, complaints);
-  settings.logEndpoint = CheckEndpoint(given.log(), "log", complaints);
+  RequireText(given.id(), "id", errors);
+  RequireText(given.zone(), "zone", errors);
+  ReadPorts(given, settings, errors);
+  settings.logEndpoint = CheckEndpoint(given.log(), "log", errors);
   settings.instancesEndpoint =
-    CheckEndpoint(given.instances(), "instances", complaints);
-  ReadTeams(given, settings, complaints);
-  ReadKeys(given, settings, complaints);
+    CheckEndpoint(given.instances(), "instances", errors);
+  ReadTeams(given, settings, errors);
+  ReadKeys(given, settings, errors);
   settings.workerCount =
-    CheckRange(given.workers(), 2, 1, 64, "workers", complaints);
+    CheckRange(given.workers(), 2, 1, 64, "workers", errors);
   settings.maxBodyBytes = CheckRange(given.max_body_bytes(),
                                      1U << 20U,
                                      1024,
                                      64U << 20U,
                                      "max_body_bytes",
-                                     complaints);
-  settings.maxInFlight = CheckRange(
-    given.max_in_flight(), 2000, 1, 100000, "max_in_flight", complaints);
+                                     errors);
+  settings.maxInFlight =
+    CheckRange(given.max_in_flight(), 2000, 1, 100000, "max_in_flight", errors);
   settings.idempotencyWindow = Millis(
     1000 *
-    CheckRange(
-      given.key_window_s(), 3600, 60, 604800, "key_window_s", complaints));
-  settings.balancerRemovalDelay = Millis(CheckRange(given.balancer_delay_ms(),
-                                                    1500,
-                                                    1,
-                                                    600000,
-                                                    "balancer_delay_ms",
-                                                    complaints));
+    CheckRange(given.key_window_s(), 3600, 60, 604800, "key_window_s", errors));
+  settings.balancerRemovalDelay = Millis(CheckRange(
+    given.balancer_delay_ms(), 1500, 1, 600000, "balancer_delay_ms", errors));
   settings.drainTimeout = Millis(
-    CheckRange(given.drain_ms(), 600000, 1, 3600000, "drain_ms", complaints));
+    CheckRange(given.drain_ms(), 600000, 1, 3600000, "drain_ms", errors));
   settings.logLevel = given.log_level().empty() ? "info" : given.log_level();
   if (settings.logLevel != "info" && settings.logLevel != "error") {
-    complaints.push_back(ValidationError{
+    errors.push_back(ValidationError{
       "log_level", "\"" + settings.logLevel + "\"", "error or info" });
   }
-  if (!complaints.empty()) {
-    return tl::unexpected<ValidationErrors>(complaints);
+  if (!errors.empty()) {
+    return tl::unexpected<ValidationErrors>(errors);
   }
   return settings;
 }
--- a/src/daemon/Settings.h
+++ b/src/daemon/Settings.h
@@ -1,5 +1,5 @@
 /** \file
- * The daemon's settings, checked.
+ * The daemon's settings, after validation.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace toucanshed {
 
-/** Filled by ParseSettings only. */
+/** Validated settings, filled by ParseSettings. */
 struct Settings
 {
   DaemonId id;
@@ -36,7 +36,8 @@
   std::string logLevel = "info";
 };
 
-/** Parses and checks a settings file in JSON. Thread safety: pure function. */
+/** Parses and validates a settings file in JSON. Thread safety: pure
+ * function. */
 tl::expected<Settings, std::vector<ValidationError>>
 ParseSettings(const std::string& aJson);
 
--- a/src/daemon/SnapshotWriter.h
+++ b/src/daemon/SnapshotWriter.h
@@ -1,5 +1,5 @@
 /** \file
- * Keeps the configuration alive past the log's retention.
+ * Preserves the configuration beyond the log's retention.
  */
 #pragma once
 
@@ -7,9 +7,10 @@
 
 namespace toucanshed {
 
-/** Appends snapshots of the control stream for ever, when enough records or
- * time have gone by since the last one in the log. The daemon that does it is
- * a hint by rendezvous; a snapshot too many does no harm. */
+/** Appends snapshots of the control stream in an endless loop, when there are
+ * enough new records since the last snapshot or it is old enough. Rendezvous
+ * hashing selects the daemon that appends. The selection is only a hint: two
+ * daemons may append, and a redundant snapshot is harmless. */
 Task<void>
 WriteSnapshots(DaemonState& aState);
 
--- a/src/daemon/VersionShares.cpp
+++ b/src/daemon/VersionShares.cpp
@@ -6,22 +6,23 @@
 CurrentShares(DaemonState& aState, const ServiceId& aService)
 {
   std::optional<ServiceEntry> entry;
-  std::optional<RolloutState> move;
+  std::optional<RolloutState> rollout;
   aState.control.WithLock([&](ControlReader& aReader) {
     const ControlTable& table = aReader.Table();
     if (const ServiceEntry* found = table.Find(aService)) {
       entry = *found;
-      const auto newest = table.RolloutsByRevision().find(found->revision);
-      if (newest != table.RolloutsByRevision().end()) {
-        move = newest->second;
+      const auto latest = table.RolloutsByRevision().find(found->revision);
+      if (latest != table.RolloutsByRevision().end()) {
+        rollout = latest->second;
       }
     }
   });
   if (!entry) {
     return {};
   }
-  const bool back = move && RollbackReason(aState, move->rollout).has_value();
-  return EffectiveShares(*entry, move ? &*move : nullptr, back);
+  const bool rolledBack =
+    rollout && RollbackReason(aState, rollout->rollout).has_value();
+  return EffectiveShares(*entry, rollout ? &*rollout : nullptr, rolledBack);
 }
 
 std::optional<VersionId>
@@ -31,37 +32,39 @@
                   const std::string& aRoute,
                   const Observation& aObservation)
 {
-  const auto move = aState.control.WithLock(
+  const auto rollout = aState.control.WithLock(
     [&](ControlReader& aReader) -> std::optional<RolloutState> {
       const RolloutState* running =
         aReader.Table().FindRunningRollout(aService);
       return running == nullptr ? std::nullopt
                                 : std::optional<RolloutState>(*running);
     });
-  if (!move) {
+  if (!rollout) {
     return std::nullopt;
   }
   aState.evidence.WithLock([&](EvidenceTable& aEvidence) {
-    aEvidence.Observe(
-      move->rollout, aVersion, Stratum{ move->step, aRoute }, aObservation);
+    aEvidence.Observe(rollout->rollout,
+                      aVersion,
+                      Stratum{ rollout->step, aRoute },
+                      aObservation);
   });
-  return aVersion == move->to ? std::optional<VersionId>(move->from)
-                              : std::nullopt;
+  return aVersion == rollout->to ? std::optional<VersionId>(rollout->from)
+                                 : std::nullopt;
 }
 
 void
 ApplyReservations(DaemonState& aState)
 {
   constexpr std::string_view kPrefix = "alone/";
-  std::set<std::string> lives;
-  aState.factTables.WithLock([&](FactTables& aCaution) {
-    for (const FactEntry& fact : aCaution.facts.WithPrefix(kPrefix)) {
+  std::set<std::string> incarnations;
+  aState.factTables.WithLock([&](FactTables& aTables) {
+    for (const FactEntry& fact : aTables.facts.WithPrefix(kPrefix)) {
       const std::string rest = fact.key.substr(kPrefix.size());
-      lives.insert(rest.substr(0, rest.rfind('/')));
+      incarnations.insert(rest.substr(0, rest.rfind('/')));
     }
   });
   aState.router.WithLock(
-    [&](Router& aRouter) { aRouter.SetReserved(std::move(lives)); });
+    [&](Router& aRouter) { aRouter.SetReserved(std::move(incarnations)); });
 }
 
 } // namespace toucanshed
--- a/src/daemon/VersionShares.h
+++ b/src/daemon/VersionShares.h
@@ -1,5 +1,5 @@
 /** \file
- * Which version takes a request now, and what is learnt of versions.
+ * The share of each version in the traffic, and observations of versions.
  */
 #pragma once
 
@@ -10,13 +10,14 @@
 
 namespace toucanshed {
 
-/** Shares in force, as the log and the facts heard say; empty when the service
- * is not configured. Thread safety: may be called from any thread. */
+/** The shares in force according to the log and the received facts; empty if
+ * the service is not configured. Thread safety: may be called from any
+ * thread. */
 std::vector<VersionShare>
 CurrentShares(DaemonState& aState, const ServiceId& aService);
 
-/** Counts what an attempt showed of a version, if a move is running.
- * \return the version to try instead when this one is the move's new one. */
+/** Adds an attempt's observation to the evidence, if a rollout is running.
+ * \return the rollout's old version if the observed version is its new one. */
 std::optional<VersionId>
 RecordObservation(DaemonState& aState,
                   const ServiceId& aService,
@@ -24,7 +25,7 @@
                   const std::string& aRoute,
                   const Observation& aObservation);
 
-/** Makes the router keep off engines that facts reserve for one request. */
+/** Stops the router from picking engines that facts reserve for one request. */
 void
 ApplyReservations(DaemonState& aState);
 
--- a/src/daemon/WorkRunner.cpp
+++ b/src/daemon/WorkRunner.cpp
@@ -22,20 +22,20 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kAccepted = 202;
 
-/** Work this daemon is running now. */
+/** Ids of the work that this daemon runs now. */
 using RunningWork = std::set<WorkId>;
 
 HttpResponse
-AcceptedReply(const WorkId& aId, unsigned aStatus)
+AcceptedResponse(const WorkId& aId, unsigned aStatus)
 {
   const std::string location = "/v1/accepted/" + aId.value;
   const json::object body{ { "id", aId.value },
                            { "state", "accepted" },
                            { "location", location } };
-  HttpResponse reply = MakeResponse(aStatus, json::serialize(body) + "\n");
-  reply.set(http::field::location, location);
-  reply.set(kOutcomeHeader, "accepted");
-  return reply;
+  HttpResponse response = MakeResponse(aStatus, json::serialize(body) + "\n");
+  response.set(http::field::location, location);
+  response.set(kOutcomeHeader, "accepted");
+  return response;
 }
 
 bool
@@ -77,8 +77,9 @@
   aState.appendRequested.NotifyAll();
 }
 
-/** Runs one piece of work. A run that fails leaves it open, to be tried again
- * here or elsewhere; only a request that crashes back ends is ended. */
+/** Runs one item of accepted work. After a failed run the work stays
+ * unfinished, and this or another daemon runs it again. Only a request that is
+ * rejected because it crashes back ends gets a failure as its result. */
 Task<void>
 RunWork(DaemonState& aState,
         Worker& aWorker,
@@ -97,16 +98,16 @@
     CombineHashes(Hash64(body->prompt), body->maxTokens)) };
   aState.events.Emit(Event("work.started").With("request", aEntry.id));
   ModelCall call(aState, aWorker, request, &AcceptToken);
-  const RequestResult end = co_await call.Run();
+  const RequestResult result = co_await call.Run();
   aState.events.Emit(Event("work.ended")
                        .With("request", aEntry.id)
-                       .With("outcome", ToText(end.outcome))
-                       .With("reason", end.reason));
-  const bool givenUp = aState.factTables.WithLock([&](FactTables& aCaution) {
+                       .With("outcome", ToText(result.outcome))
+                       .With("reason", result.reason));
+  const bool rejected = aState.factTables.WithLock([&](FactTables& aCaution) {
     return SuspectTable::LevelOf(aCaution.facts, request.fingerprint) ==
            SuspectLevel::eRejected;
   });
-  if (end.outcome == RequestOutcome::eCompleted) {
+  if (result.outcome == RequestOutcome::eCompleted) {
     QueueResult(aState,
                 aEntry.id,
                 kOk,
@@ -115,13 +116,13 @@
                                route,
                                call.Response().Text(),
                                call.Response().TokenCount()));
-  } else if (givenUp) {
+  } else if (rejected) {
     constexpr unsigned kBadGateway = 502;
-    QueueResult(aState, aEntry.id, kBadGateway, FailureJson(end));
+    QueueResult(aState, aEntry.id, kBadGateway, FailureJson(result));
   }
-  if (end.outcome == RequestOutcome::eCompleted || givenUp) {
-    // Kept as running until the result is folded, so that it does not start
-    // again in between.
+  if (result.outcome == RequestOutcome::eCompleted || rejected) {
+    // The work counts as running until its result is applied, so that it is not
+    // started again before.
     co_await AwaitApplied(aState, aWorker, aState.Now() + kLogTimeout, [&] {
       return aState.work.WithLock([&](WorkTable& aWork) {
         const WorkEntry* entry = aWork.Find(aEntry.id);
@@ -146,10 +147,10 @@
     return aWork.UnfinishedCount() >= WorkTable::kMaxUnfinished;
   });
   if (full) {
-    const RequestResult end{ RequestOutcome::eNotRun,
-                             "too much work is accepted",
-                             30 };
-    co_return FailureResponse(end);
+    const RequestResult result{ RequestOutcome::eNotRun,
+                                "too much work is accepted",
+                                30 };
+    co_return FailureResponse(result);
   }
   const WorkId id{ aState.NewId("w") };
   records::Record record;
@@ -163,21 +164,21 @@
   aState.work.WithLock(
     [&](WorkTable& aWork) { aWork.Queue().Add(std::move(record)); });
   aState.appendRequested.NotifyAll();
-  const bool known =
+  const bool confirmed =
     co_await AwaitApplied(aState, aWorker, aState.Now() + kLogTimeout, [&] {
       return IsAccepted(aState, id);
     });
-  if (known) {
-    co_return AcceptedReply(id, kAccepted);
+  if (confirmed) {
+    co_return AcceptedResponse(id, kAccepted);
   }
-  // The record may still land and the work be run, so "not run" would be a
-  // lie; the caller can ask for it by its id.
+  // The record may still reach the log and the work may run, so "not run" could
+  // be false. The caller can query the work by its id.
   const RequestResult unconfirmed{ RequestOutcome::eMayHaveRun,
                                    "the log has not confirmed the acceptance",
                                    2 };
-  HttpResponse reply = FailureResponse(unconfirmed);
-  reply.set(http::field::location, "/v1/accepted/" + id.value);
-  co_return reply;
+  HttpResponse response = FailureResponse(unconfirmed);
+  response.set(http::field::location, "/v1/accepted/" + id.value);
+  co_return response;
 }
 
 HttpResponse
@@ -196,12 +197,12 @@
                                                 "accepted work of this team" });
   }
   if (!entry->status) {
-    return AcceptedReply(aId, kOk);
+    return AcceptedResponse(aId, kOk);
   }
-  HttpResponse reply = MakeResponse(*entry->status, entry->result);
-  reply.set(kOutcomeHeader,
-            *entry->status == kOk ? "completed" : "may-have-run");
-  return reply;
+  HttpResponse response = MakeResponse(*entry->status, entry->result);
+  response.set(kOutcomeHeader,
+               *entry->status == kOk ? "completed" : "may-have-run");
+  return response;
 }
 
 Task<void>
@@ -211,17 +212,17 @@
   while (true) {
     const auto owners = aState.membership.WithLock(
       [](Membership& aMembers) { return aMembers.EligibleOwners(); });
-    std::vector<WorkEntry> mine;
+    std::vector<WorkEntry> assigned;
     aState.work.WithLock([&](WorkTable& aWork) {
       for (const WorkId& id :
            aWork.AssignedTo(aState.settings.id.value, owners)) {
         if (running->count(id) == 0 &&
-            running->size() + mine.size() < kMaxConcurrentWork) {
-          mine.push_back(*aWork.Find(id));
+            running->size() + assigned.size() < kMaxConcurrentWork) {
+          assigned.push_back(*aWork.Find(id));
         }
       }
     });
-    for (WorkEntry& entry : mine) {
+    for (WorkEntry& entry : assigned) {
       running->insert(entry.id);
       aWorker.Spawn(RunWork(aState, aWorker, std::move(entry), running));
     }
--- a/src/daemon/WorkRunner.h
+++ b/src/daemon/WorkRunner.h
@@ -1,5 +1,5 @@
 /** \file
- * Work accepted for later: taken in, run by one of the daemons, asked for.
+ * Accepted work: its acceptance, its run by one of the daemons, its status.
  */
 #pragma once
 
@@ -10,8 +10,8 @@
 
 namespace toucanshed {
 
-/** Takes work in. The answer is 202 only once the acceptance is read back
- * from the log, from when on any daemon can finish it. */
+/** Accepts work. The response is 202 only once the acceptance is read back from
+ * the log; from then on any daemon can complete the work. */
 Task<HttpResponse>
 AcceptWork(DaemonState& aState,
            Worker& aWorker,
@@ -24,7 +24,7 @@
 HttpResponse
 WorkStatusResponse(DaemonState& aState, const TeamId& aTeam, const WorkId& aId);
 
-/** Runs the work that falls to this daemon, for ever. */
+/** Runs the work assigned to this daemon, in an endless loop. */
 Task<void>
 RunAssignedWork(DaemonState& aState, Worker& aWorker);
 
--- a/src/daemon/main/main.cpp
+++ b/src/daemon/main/main.cpp
@@ -21,7 +21,7 @@
 namespace toucanshed {
 namespace {
 
-/** Log lines are gathered to one write of this many bytes. */
+/** Log lines are buffered until a write has this many bytes. */
 constexpr std::size_t kLogFlushThreshold = 2048;
 constexpr int kExitUsage = 2;
 constexpr int kExitSettings = 3;
--- a/test/DaemonHarness.cpp
+++ b/test/DaemonHarness.cpp
@@ -60,8 +60,8 @@
 LogClient
 MemoryLog::MakeClient()
 {
-  LogClient access;
-  access.append = [this](Worker&,
+  LogClient client;
+  client.append = [this](Worker&,
                          std::string aStream,
                          std::string aPayload) -> Task<Result<void>> {
     if (this->outage) {
@@ -69,11 +69,11 @@
     }
     this->streams[aStream].push_back(std::move(aPayload));
     if (this->dropAppendResponses) {
-      co_return Fail(ErrorCode::eUnavailable, "the answer was lost");
+      co_return Fail(ErrorCode::eUnavailable, "the response was lost");
     }
     co_return Result<void>{};
   };
-  access.read =
+  client.read =
     [this](Worker&,
            std::string aStream,
            std::uint64_t aFrom,
@@ -93,7 +93,7 @@
     page.set_next(payloads.size() + 1);
     co_return page;
   };
-  return access;
+  return client;
 }
 
 ModelRequest
@@ -218,12 +218,12 @@
       continue;
     }
     HttpRequest request = MakeRequest(http::verb::get, "/counts");
-    const auto reply = co_await Fetch(this->FirstWorker(),
-                                      backend.endpoint,
-                                      std::move(request),
-                                      CallTimeouts{},
-                                      true);
-    count += NumberOf(*ParseJsonObject(reply->body()), aKey);
+    const auto response = co_await Fetch(this->FirstWorker(),
+                                         backend.endpoint,
+                                         std::move(request),
+                                         CallTimeouts{},
+                                         true);
+    count += NumberOf(*ParseJsonObject(response->body()), aKey);
   }
   co_return count;
 }
--- a/test/DaemonHarness.h
+++ b/test/DaemonHarness.h
@@ -1,6 +1,6 @@
 /** \file
- * One daemon's tables with stand-in back ends and a log in memory, all on one
- * worker of the test's own thread.
+ * The state of one daemon with stand-in back ends and an in-memory log, all on
+ * one worker in the test's thread.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace toucanshed::test {
 
-/** What the log in memory does with what it is asked. */
+/** An in-memory log with switches for faults. */
 struct MemoryLog
 {
   bool outage = false;
@@ -26,7 +26,7 @@
   [[nodiscard]] LogClient MakeClient();
 };
 
-/** A chat request for the world's model service, arriving now. */
+/** A chat request for the harness's model service, arriving now. */
 ModelRequest
 MakeModelRequest(DaemonState& aState,
                  const std::string& aPrompt,
@@ -35,20 +35,21 @@
 class DaemonHarness
 {
 public:
-  /** \param aPort first of the ports that the world may use. */
+  /** \param aPort the first of the ports that the harness may use. */
   explicit DaemonHarness(std::uint16_t aPort);
 
-  /** Adds a model engine of version v1 and tells the router of it. */
+  /** Starts a model engine of version v1 and adds it to the router. */
   void AddEngine(const std::string& aId, const std::string& aFault = {});
-  /** Adds a plain service "jobdesk". */
+  /** Starts a back end of the plain service "jobdesk" and adds it to the
+   * router. */
   void AddService(const std::string& aId);
   /** Sets a back end's fault switch over HTTP. */
   Task<void> SetFault(std::size_t aBackend,
                       std::string aName,
                       std::int64_t aValue);
-  /** How often the services executed a key. */
+  /** Number of executions of a key over all plain services. */
   Task<std::uint64_t> Executions(std::string aKey);
-  /** Runs the test's coroutine to its end. */
+  /** Runs the test's coroutine until it ends. */
   void Run(Task<void> aTask);
 
   DaemonState state;
--- a/test/failure/ModelCallTest.cpp
+++ b/test/failure/ModelCallTest.cpp
@@ -32,161 +32,166 @@
 }
 
 Task<void>
-RunCall(DaemonHarness& aWorld, ObservedCall& aOutcome)
+RunCall(DaemonHarness& aHarness, ObservedCall& aObserved)
 {
-  ModelCall call(
-    aWorld.state,
-    aWorld.FirstWorker(),
-    RequestNow(aWorld.state),
-    [&aOutcome](const std::string&) { return CountToken(aOutcome.delivered); });
-  aOutcome.end = co_await call.Run();
-  aOutcome.text = call.Response().Text();
+  ModelCall call(aHarness.state,
+                 aHarness.FirstWorker(),
+                 RequestNow(aHarness.state),
+                 [&aObserved](const std::string&) {
+                   return CountToken(aObserved.delivered);
+                 });
+  aObserved.end = co_await call.Run();
+  aObserved.text = call.Response().Text();
 }
 
 Task<void>
-CallWithFault(DaemonHarness& aWorld,
+CallWithFault(DaemonHarness& aHarness,
               std::string aFault,
               std::int64_t aValue,
-              ObservedCall& aOutcome)
+              ObservedCall& aObserved)
 {
-  co_await aWorld.SetFault(0, aFault, aValue);
-  co_await RunCall(aWorld, aOutcome);
+  co_await aHarness.SetFault(0, aFault, aValue);
+  co_await RunCall(aHarness, aObserved);
 }
 
 void
-CheckComplete(const ObservedCall& aOutcome, std::uint64_t aTokens = kTokens)
+CheckComplete(const ObservedCall& aObserved, std::uint64_t aTokens = kTokens)
 {
-  CHECK(aOutcome.end.outcome == RequestOutcome::eCompleted);
-  CHECK(aOutcome.text == standin::FullResponse(kPrompt, aTokens));
-  CHECK(aOutcome.delivered == aTokens);
+  CHECK(aObserved.end.outcome == RequestOutcome::eCompleted);
+  CHECK(aObserved.text == standin::FullResponse(kPrompt, aTokens));
+  CHECK(aObserved.delivered == aTokens);
 }
 
 } // namespace
 
 TEST_CASE("misdirected and duplicate events are dropped")
 {
-  // Half of the lines come with another attempt's event before them, or
-  // twice. The caller sees each of its tokens once, in order.
-  DaemonHarness world(21200);
-  world.AddEngine("engine-1");
-  ObservedCall outcome;
-  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
-    co_await aWorld.SetFault(0, "crossed_percent", 50);
-    co_await CallWithFault(aWorld, "doubled_percent", 50, aOutcome);
-  }(world, outcome));
-  CheckComplete(outcome);
+  // Half of the engine's lines are preceded by an event of another attempt, and
+  // half are sent twice. The caller must get each of its tokens once, in order.
+  DaemonHarness harness(21200);
+  harness.AddEngine("engine-1");
+  ObservedCall observed;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedCall& aObserved) -> Task<void> {
+      co_await aHarness.SetFault(0, "crossed_percent", 50);
+      co_await CallWithFault(aHarness, "doubled_percent", 50, aObserved);
+    }(harness, observed));
+  CheckComplete(observed);
 }
 
 TEST_CASE("a broken stream resumes after its received tokens")
 {
-  // The engine cuts the stream again and again while it lives on; the caller
-  // sees one whole answer.
-  DaemonHarness world(21210);
-  world.AddEngine("engine-1");
-  world.AddEngine("engine-2");
-  ObservedCall outcome;
-  world.Run(CallWithFault(world, "cut_percent", 10, outcome));
-  CheckComplete(outcome);
+  // The engine repeatedly cuts the stream but stays alive. The caller must get
+  // one complete response.
+  DaemonHarness harness(21210);
+  harness.AddEngine("engine-1");
+  harness.AddEngine("engine-2");
+  ObservedCall observed;
+  harness.Run(CallWithFault(harness, "cut_percent", 10, observed));
+  CheckComplete(observed);
 }
 
 TEST_CASE("a request rejected by a leaving engine is rerouted")
 {
-  // It refuses with "not run"; the request goes to another engine.
-  DaemonHarness world(21220);
-  world.AddEngine("engine-1", "leaving");
-  world.AddEngine("engine-2");
-  ObservedCall outcome;
-  world.Run(RunCall(world, outcome));
-  CheckComplete(outcome);
+  // The engine rejects the request as not run, so it may go to another one.
+  DaemonHarness harness(21220);
+  harness.AddEngine("engine-1", "leaving");
+  harness.AddEngine("engine-2");
+  ObservedCall observed;
+  harness.Run(RunCall(harness, observed));
+  CheckComplete(observed);
 }
 
 TEST_CASE("without an engine a request is rejected as not run")
 {
-  DaemonHarness world(21230);
-  ObservedCall outcome;
-  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
-    ModelRequest request = RequestNow(aWorld.state);
-    request.deadline = request.arrived + Millis(50);
-    ModelCall call(aWorld.state,
-                   aWorld.FirstWorker(),
-                   request,
-                   [&aOutcome](const std::string&) {
-                     return CountToken(aOutcome.delivered);
-                   });
-    aOutcome.end = co_await call.Run();
-  }(world, outcome));
-  CHECK(outcome.end.outcome == RequestOutcome::eNotRun);
-  CHECK(outcome.end.retryAfterSeconds > 0);
+  DaemonHarness harness(21230);
+  ObservedCall observed;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedCall& aObserved) -> Task<void> {
+      ModelRequest request = RequestNow(aHarness.state);
+      request.deadline = request.arrived + Millis(50);
+      ModelCall call(aHarness.state,
+                     aHarness.FirstWorker(),
+                     request,
+                     [&aObserved](const std::string&) {
+                       return CountToken(aObserved.delivered);
+                     });
+      aObserved.end = co_await call.Run();
+    }(harness, observed));
+  CHECK(observed.end.outcome == RequestOutcome::eNotRun);
+  CHECK(observed.end.retryAfterSeconds > 0);
 }
 
 TEST_CASE("a request fails once its attempts are used up")
 {
-  // Every try fails after bytes were sent, so the answer says "may have run",
-  // and it comes as soon as the tries are spent.
-  DaemonHarness world(21240);
-  world.AddEngine("engine-1");
-  ObservedCall outcome;
-  world.Run(CallWithFault(world, "fail_percent", 100, outcome));
-  CHECK(outcome.end.outcome == RequestOutcome::eMayHaveRun);
-  CHECK(outcome.end.reason == "no back end could complete it");
-  CHECK(outcome.delivered == 0);
+  // Every attempt fails after bytes were sent, so the outcome is "may have
+  // run". It is returned as soon as the attempts are used up.
+  DaemonHarness harness(21240);
+  harness.AddEngine("engine-1");
+  ObservedCall observed;
+  harness.Run(CallWithFault(harness, "fail_percent", 100, observed));
+  CHECK(observed.end.outcome == RequestOutcome::eMayHaveRun);
+  CHECK(observed.end.reason == "no back end could complete it");
+  CHECK(observed.delivered == 0);
 }
 
 TEST_CASE("a request that crashed three engines is not run again")
 {
-  // Three engines have crashed of it, as peers have said. A resend at this
-  // daemon runs nowhere, and is told when to come back.
-  DaemonHarness world(21250);
-  world.AddEngine("engine-1");
-  for (const char* life : { "a/1", "b/1", "c/1" }) {
-    world.state.PublishFact(
-      SuspectTable::CrashFact(Fingerprint{ 7 }, life, world.state.Now()));
+  // Facts say that the request crashed three engines. When it is sent again to
+  // this daemon, no engine runs it, and the result says when to retry.
+  DaemonHarness harness(21250);
+  harness.AddEngine("engine-1");
+  for (const char* incarnationKey : { "a/1", "b/1", "c/1" }) {
+    harness.state.PublishFact(SuspectTable::CrashFact(
+      Fingerprint{ 7 }, incarnationKey, harness.state.Now()));
   }
-  ObservedCall outcome;
-  world.Run(RunCall(world, outcome));
-  CHECK(outcome.end.outcome == RequestOutcome::eNotRun);
-  CHECK(outcome.end.retryAfterSeconds == 600);
-  CHECK(outcome.delivered == 0);
+  ObservedCall observed;
+  harness.Run(RunCall(harness, observed));
+  CHECK(observed.end.outcome == RequestOutcome::eNotRun);
+  CHECK(observed.end.retryAfterSeconds == 600);
+  CHECK(observed.delivered == 0);
 }
 
 namespace {
 
-/** Reclaims whichever engine runs something, as its notice would. */
+/** Marks every engine that runs a request as leaving, as a reclaim notice
+ * does. */
 void
 ReclaimBusyEngine(DaemonState& aState)
 {
   const TimePoint now = aState.Now();
   aState.router.WithLock([&](Router& aRouter) {
-    for (const std::string& life : aRouter.AvailableIncarnations(
+    for (const std::string& incarnationKey : aRouter.AvailableIncarnations(
            ServiceId{ "survey" }, VersionId{ "v1" }, now)) {
-      if (aRouter.FindIncarnation(life)->inFlight > 0) {
-        aRouter.MarkLeaving(life);
+      if (aRouter.FindIncarnation(incarnationKey)->inFlight > 0) {
+        aRouter.MarkLeaving(incarnationKey);
       }
     }
   });
   ++aState.leavingChanges;
 }
 
-/** Long enough that the engine still generates when the state is asked for. */
-constexpr std::uint64_t kLongAnswer = 600;
+/** Tokens of a response that is long enough for the engine to be still
+ * generating when its state is requested. */
+constexpr std::uint64_t kLongResponseTokens = 600;
 
 Task<void>
-CallThroughReclaim(DaemonHarness& aWorld, ObservedCall& aOutcome)
+CallThroughReclaim(DaemonHarness& aHarness, ObservedCall& aObserved)
 {
-  ModelRequest request = RequestNow(aWorld.state);
-  request.maxTokens = kLongAnswer;
-  ModelCall call(aWorld.state,
-                 aWorld.FirstWorker(),
+  ModelRequest request = RequestNow(aHarness.state);
+  request.maxTokens = kLongResponseTokens;
+  ModelCall call(aHarness.state,
+                 aHarness.FirstWorker(),
                  request,
                  [&](const std::string&) -> Task<bool> {
-                   ++aOutcome.delivered;
-                   if (aOutcome.delivered == 5) {
-                     ReclaimBusyEngine(aWorld.state);
+                   ++aObserved.delivered;
+                   if (aObserved.delivered == 5) {
+                     ReclaimBusyEngine(aHarness.state);
                    }
                    co_return true;
                  });
-  aOutcome.end = co_await call.Run();
-  aOutcome.text = call.Response().Text();
+  aObserved.end = co_await call.Run();
+  aObserved.text = call.Response().Text();
 }
 
 bool
@@ -203,55 +208,57 @@
 
 TEST_CASE("a stream migrates with its state on a reclaim")
 {
-  // The notice comes in the middle of the answer. While the engine still
-  // runs, the state goes to another, which computes nothing again.
-  DaemonHarness world(21270);
-  world.AddEngine("engine-1");
-  world.AddEngine("engine-2");
-  ObservedCall outcome;
-  world.Run(CallThroughReclaim(world, outcome));
-  CheckComplete(outcome, kLongAnswer);
-  CHECK(HasEvent(world.state, "event=stream.moved"));
-  CHECK(HasEvent(world.state, "state=imported"));
+  // The reclaim notice comes in the middle of the response. The engine still
+  // runs, so its state is transferred to another engine, which recomputes
+  // nothing.
+  DaemonHarness harness(21270);
+  harness.AddEngine("engine-1");
+  harness.AddEngine("engine-2");
+  ObservedCall observed;
+  harness.Run(CallThroughReclaim(harness, observed));
+  CheckComplete(observed, kLongResponseTokens);
+  CHECK(HasEvent(harness.state, "event=stream.moved"));
+  CHECK(HasEvent(harness.state, "state=imported"));
 }
 
 TEST_CASE("a stream is recomputed if its state is not imported")
 {
-  DaemonHarness world(21280);
-  world.AddEngine("engine-1", "refuse_import");
-  world.AddEngine("engine-2", "refuse_import");
-  ObservedCall outcome;
-  world.Run(CallThroughReclaim(world, outcome));
-  CheckComplete(outcome, kLongAnswer);
-  CHECK(HasEvent(world.state, "state=recomputed"));
+  DaemonHarness harness(21280);
+  harness.AddEngine("engine-1", "refuse_import");
+  harness.AddEngine("engine-2", "refuse_import");
+  ObservedCall observed;
+  harness.Run(CallThroughReclaim(harness, observed));
+  CheckComplete(observed, kLongResponseTokens);
+  CHECK(HasEvent(harness.state, "state=recomputed"));
 }
 
 TEST_CASE("a stalled connection is not taken for a crash")
 {
-  // The stream goes silent for good while the engine answers on a new
-  // connection: nobody is implicated in a crash, and the answer completes.
-  DaemonHarness world(21260);
-  world.AddEngine("engine-1");
-  world.AddEngine("engine-2");
-  ObservedCall outcome;
-  world.Run([](DaemonHarness& aWorld, ObservedCall& aOutcome) -> Task<void> {
-    ModelCall call(aWorld.state,
-                   aWorld.FirstWorker(),
-                   RequestNow(aWorld.state),
-                   [&aWorld, &aOutcome](const std::string&) -> Task<bool> {
-                     ++aOutcome.delivered;
-                     if (aOutcome.delivered == 5) {
-                       co_await aWorld.SetFault(0, "silent", 1);
-                       co_await aWorld.SetFault(1, "silent", 1);
-                     }
-                     co_return true;
-                   });
-    aOutcome.end = co_await call.Run();
-    aOutcome.text = call.Response().Text();
-  }(world, outcome));
-  CheckComplete(outcome);
-  world.state.factTables.WithLock([](FactTables& aCaution) {
-    CHECK(aCaution.facts.WithPrefix("crash/").empty());
+  // The stream sends nothing any more, but the engine responds on a new
+  // connection. There must be no crash fact, and the response completes.
+  DaemonHarness harness(21260);
+  harness.AddEngine("engine-1");
+  harness.AddEngine("engine-2");
+  ObservedCall observed;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedCall& aObserved) -> Task<void> {
+      ModelCall call(aHarness.state,
+                     aHarness.FirstWorker(),
+                     RequestNow(aHarness.state),
+                     [&aHarness, &aObserved](const std::string&) -> Task<bool> {
+                       ++aObserved.delivered;
+                       if (aObserved.delivered == 5) {
+                         co_await aHarness.SetFault(0, "silent", 1);
+                         co_await aHarness.SetFault(1, "silent", 1);
+                       }
+                       co_return true;
+                     });
+      aObserved.end = co_await call.Run();
+      aObserved.text = call.Response().Text();
+    }(harness, observed));
+  CheckComplete(observed);
+  harness.state.factTables.WithLock([](FactTables& aTables) {
+    CHECK(aTables.facts.WithPrefix("crash/").empty());
   });
 }
 
