--- a/test/failure/PlainCallTest.cpp
+++ b/test/failure/PlainCallTest.cpp
@@ -32,7 +32,7 @@
   return request;
 }
 
-/** What a caller saw over several sends of one key. */
+/** Results that a caller got when it sent one key several times. */
 struct ObservedResults
 {
   std::vector<RequestOutcome> outcomes;
@@ -41,135 +41,142 @@
 };
 
 Task<void>
-SendBooking(DaemonHarness& aWorld, std::string aKey, ObservedResults& aSeen)
+SendBooking(DaemonHarness& aHarness,
+            std::string aKey,
+            ObservedResults& aResults)
 {
   const PlainCallResult end = co_await RunAtMostOnce(
-    aWorld.state, aWorld.FirstWorker(), MakeBooking(aWorld.state, aKey));
-  aSeen.outcomes.push_back(end.result.outcome);
-  aSeen.bodies.push_back(end.response.body);
-  aSeen.executions = co_await aWorld.Executions(aKey);
+    aHarness.state, aHarness.FirstWorker(), MakeBooking(aHarness.state, aKey));
+  aResults.outcomes.push_back(end.result.outcome);
+  aResults.bodies.push_back(end.response.body);
+  aResults.executions = co_await aHarness.Executions(aKey);
 }
 
 } // namespace
 
 TEST_CASE("a repeated booking runs once, gets the same response")
 {
-  DaemonHarness world(21300);
-  world.AddService("service-1");
-  StartLogStreams(world.state);
-  ObservedResults seen;
-  world.Run([](DaemonHarness& aWorld, ObservedResults& aSeen) -> Task<void> {
-    const std::string key = FreshKey(aWorld.state);
-    co_await SendBooking(aWorld, key, aSeen);
-    co_await SendBooking(aWorld, key, aSeen);
-  }(world, seen));
-  CHECK(seen.outcomes ==
+  DaemonHarness harness(21300);
+  harness.AddService("service-1");
+  StartLogStreams(harness.state);
+  ObservedResults results;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedResults& aResults) -> Task<void> {
+      const std::string key = FreshKey(aHarness.state);
+      co_await SendBooking(aHarness, key, aResults);
+      co_await SendBooking(aHarness, key, aResults);
+    }(harness, results));
+  CHECK(results.outcomes ==
         std::vector<RequestOutcome>{ RequestOutcome::eCompleted,
                                      RequestOutcome::eCompleted });
-  CHECK(seen.bodies[0] == seen.bodies[1]);
-  CHECK(seen.executions == 1);
+  CHECK(results.bodies[0] == results.bodies[1]);
+  CHECK(results.executions == 1);
 }
 
 TEST_CASE("a booking during a log outage is not run")
 {
-  // The claim cannot be read back, so nothing is sent and "not run" is said.
-  // The log comes back and the late claim lands; still nothing runs, until the
-  // caller asks again.
-  DaemonHarness world(21310);
-  world.AddService("service-1");
-  StartLogStreams(world.state);
-  world.log.outage = true;
-  ObservedResults seen;
+  // The claim cannot be read back, so nothing is sent and the outcome is "not
+  // run". After the outage the late claim reaches the log. Still nothing runs
+  // until the caller sends the booking again.
+  DaemonHarness harness(21310);
+  harness.AddService("service-1");
+  StartLogStreams(harness.state);
+  harness.log.outage = true;
+  ObservedResults results;
   std::uint64_t afterOutage = 99;
-  world.Run([](DaemonHarness& aWorld,
-               ObservedResults& aSeen,
-               std::uint64_t& aAfter) -> Task<void> {
-    const std::string key = FreshKey(aWorld.state);
-    co_await SendBooking(aWorld, key, aSeen);
-    aWorld.log.outage = false;
+  harness.Run([](DaemonHarness& aHarness,
+                 ObservedResults& aResults,
+                 std::uint64_t& aAfterOutage) -> Task<void> {
+    const std::string key = FreshKey(aHarness.state);
+    co_await SendBooking(aHarness, key, aResults);
+    aHarness.log.outage = false;
     co_await Sleep(Millis(600));
-    aAfter = co_await aWorld.Executions(key);
-    co_await SendBooking(aWorld, key, aSeen);
-  }(world, seen, afterOutage));
-  CHECK(seen.outcomes[0] == RequestOutcome::eNotRun);
+    aAfterOutage = co_await aHarness.Executions(key);
+    co_await SendBooking(aHarness, key, aResults);
+  }(harness, results, afterOutage));
+  CHECK(results.outcomes[0] == RequestOutcome::eNotRun);
   CHECK(afterOutage == 0);
-  CHECK(seen.outcomes[1] == RequestOutcome::eCompleted);
-  CHECK(seen.executions == 1);
+  CHECK(results.outcomes[1] == RequestOutcome::eCompleted);
+  CHECK(results.executions == 1);
 }
 
 TEST_CASE("a booking whose response is lost is never run again")
 {
-  // The service executes it and closes the connection. Every later ask with
-  // the key gets the same answer, and the count stays at one.
-  DaemonHarness world(21320);
-  world.AddService("service-1");
-  StartLogStreams(world.state);
-  ObservedResults seen;
-  world.Run([](DaemonHarness& aWorld, ObservedResults& aSeen) -> Task<void> {
-    const std::string key = FreshKey(aWorld.state);
-    co_await aWorld.SetFault(0, "drop_answer_percent", 100);
-    co_await SendBooking(aWorld, key, aSeen);
-    co_await aWorld.SetFault(0, "drop_answer_percent", 0);
-    co_await SendBooking(aWorld, key, aSeen);
-    co_await SendBooking(aWorld, key, aSeen);
-  }(world, seen));
-  CHECK(seen.outcomes ==
+  // The service executes the booking and closes the connection. Every later
+  // call with the key gets the same outcome, and the count stays at one.
+  DaemonHarness harness(21320);
+  harness.AddService("service-1");
+  StartLogStreams(harness.state);
+  ObservedResults results;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedResults& aResults) -> Task<void> {
+      const std::string key = FreshKey(aHarness.state);
+      co_await aHarness.SetFault(0, "drop_answer_percent", 100);
+      co_await SendBooking(aHarness, key, aResults);
+      co_await aHarness.SetFault(0, "drop_answer_percent", 0);
+      co_await SendBooking(aHarness, key, aResults);
+      co_await SendBooking(aHarness, key, aResults);
+    }(harness, results));
+  CHECK(results.outcomes ==
         std::vector<RequestOutcome>(3, RequestOutcome::eMayHaveRun));
-  CHECK(seen.executions == 1);
+  CHECK(results.executions == 1);
 }
 
 TEST_CASE("a response to another attempt is not passed on")
 {
-  // The answer bears another attempt's id: what it says of this booking is
-  // not known, so the outcome is "may have run" and not a stranger's answer.
-  DaemonHarness world(21330);
-  world.AddService("service-1");
-  StartLogStreams(world.state);
-  ObservedResults seen;
-  world.Run([](DaemonHarness& aWorld, ObservedResults& aSeen) -> Task<void> {
-    co_await aWorld.SetFault(0, "crossed_percent", 100);
-    co_await SendBooking(aWorld, FreshKey(aWorld.state), aSeen);
-  }(world, seen));
-  CHECK(seen.outcomes[0] == RequestOutcome::eMayHaveRun);
-  CHECK(seen.bodies[0].empty());
+  // The response has the id of another attempt, so the result of this booking
+  // is unknown. The outcome must be "may have run", without that response.
+  DaemonHarness harness(21330);
+  harness.AddService("service-1");
+  StartLogStreams(harness.state);
+  ObservedResults results;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedResults& aResults) -> Task<void> {
+      co_await aHarness.SetFault(0, "crossed_percent", 100);
+      co_await SendBooking(aHarness, FreshKey(aHarness.state), aResults);
+    }(harness, results));
+  CHECK(results.outcomes[0] == RequestOutcome::eMayHaveRun);
+  CHECK(results.bodies[0].empty());
 }
 
 TEST_CASE("a key stays usable if no back end is reachable")
 {
-  // Nothing could be sent, so "not run" is true, and the same key completes
-  // once a back end is there.
-  DaemonHarness world(21340);
-  StartLogStreams(world.state);
-  ObservedResults seen;
-  world.Run([](DaemonHarness& aWorld, ObservedResults& aSeen) -> Task<void> {
-    const std::string key = FreshKey(aWorld.state);
-    co_await SendBooking(aWorld, key, aSeen);
-    aWorld.AddService("service-1");
-    co_await Sleep(Millis(100));
-    co_await SendBooking(aWorld, key, aSeen);
-  }(world, seen));
-  CHECK(seen.outcomes ==
+  // Nothing could be sent, so the outcome is "not run". The same key completes
+  // once there is a back end.
+  DaemonHarness harness(21340);
+  StartLogStreams(harness.state);
+  ObservedResults results;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedResults& aResults) -> Task<void> {
+      const std::string key = FreshKey(aHarness.state);
+      co_await SendBooking(aHarness, key, aResults);
+      aHarness.AddService("service-1");
+      co_await Sleep(Millis(100));
+      co_await SendBooking(aHarness, key, aResults);
+    }(harness, results));
+  CHECK(results.outcomes ==
         std::vector<RequestOutcome>{ RequestOutcome::eNotRun,
                                      RequestOutcome::eCompleted });
-  CHECK(seen.executions == 1);
+  CHECK(results.executions == 1);
 }
 
 TEST_CASE("lost append responses do not run a booking twice")
 {
-  DaemonHarness world(21350);
-  world.AddService("service-1");
-  StartLogStreams(world.state);
-  world.log.dropAppendResponses = true;
-  ObservedResults seen;
-  world.Run([](DaemonHarness& aWorld, ObservedResults& aSeen) -> Task<void> {
-    const std::string key = FreshKey(aWorld.state);
-    co_await SendBooking(aWorld, key, aSeen);
-    co_await SendBooking(aWorld, key, aSeen);
-  }(world, seen));
-  CHECK(seen.outcomes ==
+  DaemonHarness harness(21350);
+  harness.AddService("service-1");
+  StartLogStreams(harness.state);
+  harness.log.dropAppendResponses = true;
+  ObservedResults results;
+  harness.Run(
+    [](DaemonHarness& aHarness, ObservedResults& aResults) -> Task<void> {
+      const std::string key = FreshKey(aHarness.state);
+      co_await SendBooking(aHarness, key, aResults);
+      co_await SendBooking(aHarness, key, aResults);
+    }(harness, results));
+  CHECK(results.outcomes ==
         std::vector<RequestOutcome>{ RequestOutcome::eCompleted,
                                      RequestOutcome::eCompleted });
-  CHECK(seen.executions == 1);
+  CHECK(results.executions == 1);
 }
 
 } // namespace toucanshed::test
