--- a/src/daemon/BackendWatcher.cpp
+++ b/src/daemon/BackendWatcher.cpp
@@ -47,7 +47,7 @@
                std::shared_ptr<WatcherState> aWatcher)
 {
   const EngineReport listed = aBackend;
-  // The list's "leaving" mark is evaluated below, for one incarnation.
+  // The list's "leaving" mark is evaluated below, by incarnation.
   aBackend.leaving = false;
   auto report = co_await FetchEngineReport(aWorker, aBackend, kReportTimeout);
   aWatcher->pendingReports.erase(aBackend.id);
--- a/src/daemon/CallerRequest.h
+++ b/src/daemon/CallerRequest.h
@@ -1,5 +1,5 @@
 /** \file
- * Parsing of what callers send to the model routes.
+ * Parses the requests of callers to the model routes.
  */
 #pragma once
 
--- a/src/daemon/ModelCall.cpp
+++ b/src/daemon/ModelCall.cpp
@@ -332,14 +332,14 @@
   // it, an engine that has been replaced could be mistaken for the reserved
   // one. A crash would then be counted for the wrong incarnation, and the
   // request could crash one engine more than allowed.
-  EngineReport known;
+  EngineReport routerReport;
   this->state.router.WithLock([&](Router& aRouter) {
     if (const Engine* engine = aRouter.FindIncarnation(aIncarnationKey)) {
-      known = engine->report;
+      routerReport = engine->report;
     }
   });
   const auto report =
-    co_await FetchEngineReport(this->worker, known, kProbeTimeout);
+    co_await FetchEngineReport(this->worker, routerReport, kProbeTimeout);
   const bool idle = report && IncarnationKeyOf(*report) == aIncarnationKey &&
                     report->running + report->waiting == 0;
   if (!idle) {
--- a/src/daemon/OperatorApi.cpp
+++ b/src/daemon/OperatorApi.cpp
@@ -146,8 +146,8 @@
     { "keys_kept", aState.claims.WithLock([](ClaimCoordinator& aClaims) {
        return aClaims.Table().Size();
      }) },
-    { "facts", aState.factTables.WithLock([](FactTables& aCaution) {
-       return aCaution.facts.Size();
+    { "facts", aState.factTables.WithLock([](FactTables& aTables) {
+       return aTables.facts.Size();
      }) },
     { "peer_bytes_sent", traffic.bytesSent.load() },
     { "peer_bytes_received", traffic.bytesReceived.load() },
--- a/src/daemon/WorkRunner.cpp
+++ b/src/daemon/WorkRunner.cpp
@@ -103,8 +103,8 @@
                        .With("request", aEntry.id)
                        .With("outcome", ToText(result.outcome))
                        .With("reason", result.reason));
-  const bool rejected = aState.factTables.WithLock([&](FactTables& aCaution) {
-    return SuspectTable::LevelOf(aCaution.facts, request.fingerprint) ==
+  const bool rejected = aState.factTables.WithLock([&](FactTables& aTables) {
+    return SuspectTable::LevelOf(aTables.facts, request.fingerprint) ==
            SuspectLevel::eRejected;
   });
   if (result.outcome == RequestOutcome::eCompleted) {
--- a/test/failure/ModelCallTest.cpp
+++ b/test/failure/ModelCallTest.cpp
@@ -13,7 +13,7 @@
 
 struct ObservedCall
 {
-  RequestResult end;
+  RequestResult result;
   std::string text;
   std::uint64_t delivered = 0;
 };
@@ -40,7 +40,7 @@
                  [&aObserved](const std::string&) {
                    return CountToken(aObserved.delivered);
                  });
-  aObserved.end = co_await call.Run();
+  aObserved.result = co_await call.Run();
   aObserved.text = call.Response().Text();
 }
 
@@ -57,7 +57,7 @@
 void
 CheckComplete(const ObservedCall& aObserved, std::uint64_t aTokens = kTokens)
 {
-  CHECK(aObserved.end.outcome == RequestOutcome::eCompleted);
+  CHECK(aObserved.result.outcome == RequestOutcome::eCompleted);
   CHECK(aObserved.text == standin::FullResponse(kPrompt, aTokens));
   CHECK(aObserved.delivered == aTokens);
 }
@@ -116,10 +116,10 @@
                      [&aObserved](const std::string&) {
                        return CountToken(aObserved.delivered);
                      });
-      aObserved.end = co_await call.Run();
+      aObserved.result = co_await call.Run();
     }(harness, observed));
-  CHECK(observed.end.outcome == RequestOutcome::eNotRun);
-  CHECK(observed.end.retryAfterSeconds > 0);
+  CHECK(observed.result.outcome == RequestOutcome::eNotRun);
+  CHECK(observed.result.retryAfterSeconds > 0);
 }
 
 TEST_CASE("a request fails once its attempts are used up")
@@ -130,8 +130,8 @@
   harness.AddEngine("engine-1");
   ObservedCall observed;
   harness.Run(CallWithFault(harness, "fail_percent", 100, observed));
-  CHECK(observed.end.outcome == RequestOutcome::eMayHaveRun);
-  CHECK(observed.end.reason == "no back end could complete it");
+  CHECK(observed.result.outcome == RequestOutcome::eMayHaveRun);
+  CHECK(observed.result.reason == "no back end could complete it");
   CHECK(observed.delivered == 0);
 }
 
@@ -147,8 +147,8 @@
   }
   ObservedCall observed;
   harness.Run(RunCall(harness, observed));
-  CHECK(observed.end.outcome == RequestOutcome::eNotRun);
-  CHECK(observed.end.retryAfterSeconds == 600);
+  CHECK(observed.result.outcome == RequestOutcome::eNotRun);
+  CHECK(observed.result.retryAfterSeconds == 600);
   CHECK(observed.delivered == 0);
 }
 
@@ -190,7 +190,7 @@
                    }
                    co_return true;
                  });
-  aObserved.end = co_await call.Run();
+  aObserved.result = co_await call.Run();
   aObserved.text = call.Response().Text();
 }
 
@@ -253,7 +253,7 @@
                        }
                        co_return true;
                      });
-      aObserved.end = co_await call.Run();
+      aObserved.result = co_await call.Run();
       aObserved.text = call.Response().Text();
     }(harness, observed));
   CheckComplete(observed);
--- a/test/failure/PlainCallTest.cpp
+++ b/test/failure/PlainCallTest.cpp
@@ -45,10 +45,10 @@
             std::string aKey,
             ObservedResults& aResults)
 {
-  const PlainCallResult end = co_await RunAtMostOnce(
+  const PlainCallResult result = co_await RunAtMostOnce(
     aHarness.state, aHarness.FirstWorker(), MakeBooking(aHarness.state, aKey));
-  aResults.outcomes.push_back(end.result.outcome);
-  aResults.bodies.push_back(end.response.body);
+  aResults.outcomes.push_back(result.result.outcome);
+  aResults.bodies.push_back(result.response.body);
   aResults.executions = co_await aHarness.Executions(aKey);
 }
 
