--- a/src/daemon/Daemon.cpp
+++ b/src/daemon/Daemon.cpp
@@ -182,7 +182,7 @@
       return aWork.Queue().UncommittedRecords();
     });
   };
-  // Waits shortly for outcomes that are not in the log yet. A repeated key gets
+  // Waits briefly for outcomes that are not in the log yet. A repeated key gets
   // its response only from a logged outcome; otherwise it gets "may have run".
   const TimePoint logDeadline = this->state.Now() + Millis(5000);
   while (uncommittedRecords() > 0 && this->state.Now() < logDeadline) {
--- a/src/daemon/Handover.cpp
+++ b/src/daemon/Handover.cpp
@@ -11,8 +11,7 @@
 
 constexpr std::size_t kHandoverReplicas = 2;
 /** Number of peers that are queried for a stream. It exceeds kHandoverReplicas
- * because the replicas may have had higher ranks when the stream was handed
- * over. */
+ * because the ranking may have changed since the stream was handed over. */
 constexpr std::size_t kMaxPeersQueried = 4;
 constexpr Millis kLookupTimeout{ 300 };
 
--- a/src/daemon/ModelCall.cpp
+++ b/src/daemon/ModelCall.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr Millis kProbeTimeout{ 400 };
-/** A crashed engine gets no requests for this time. The platform's list and
- * the engine's own reports make it available again. */
+/** An engine that crashed or that a probe cannot reach gets no requests for
+ * this time. The platform's list and its own reports make it available
+ * again. */
 constexpr Millis kCrashBackoff{ 5000 };
 constexpr Millis kRejectionBackoff{ 1000 };
 constexpr Millis kPollInterval{ 20 };
--- a/src/daemon/PlainCall.cpp
+++ b/src/daemon/PlainCall.cpp
@@ -217,8 +217,8 @@
 AwaitReadBack(DaemonState& aState, Worker& aWorker, AttemptId aAttempt)
 {
   ClaimPhase phase = ClaimPhase::eClaiming;
-  const TimePoint limit = aState.Now() + kLogTimeout;
-  co_await AwaitApplied(aState, aWorker, limit, [&] {
+  const TimePoint deadline = aState.Now() + kLogTimeout;
+  co_await AwaitApplied(aState, aWorker, deadline, [&] {
     phase = *aState.claims.WithLock(
       [&](ClaimCoordinator& aClaims) { return aClaims.PhaseOf(aAttempt); });
     return phase != ClaimPhase::eClaiming;
