--- a/src/cli/Client.cpp
+++ b/src/cli/Client.cpp
@@ -16,13 +16,13 @@
   CallTimeouts timeouts;
   timeouts.connect = std::chrono::seconds(2);
   timeouts.head = std::chrono::seconds(30);
-  auto reply = co_await Fetch(
+  auto response = co_await Fetch(
     aPool.First(), aEndpoint, std::move(aRequest), timeouts, true);
-  if (reply) {
-    aResult = std::move(*reply);
+  if (response) {
+    aResult = std::move(*response);
   } else {
-    aResult = Fail(reply.error().code,
-                   ToText(aEndpoint) + ": " + reply.error().message);
+    aResult = Fail(response.error().code,
+                   ToText(aEndpoint) + ": " + response.error().message);
   }
   aPool.Stop();
 }
@@ -36,7 +36,7 @@
   if (!endpoint) {
     return tl::unexpected<Error>(endpoint.error());
   }
-  Result<HttpResponse> result = Fail(ErrorCode::eUnavailable, "no answer");
+  Result<HttpResponse> result = Fail(ErrorCode::eUnavailable, "no response");
   WorkerPool pool(1);
   pool.First().Spawn(CallAndStop(pool, *endpoint, std::move(aRequest), result));
   pool.Run();
@@ -46,16 +46,17 @@
 Result<std::string>
 GetPage(const std::string& aAddress, const std::string& aTarget)
 {
-  const auto reply =
+  const auto response =
     CallDaemon(aAddress, MakeRequest(http::verb::get, aTarget));
-  if (!reply) {
-    return tl::unexpected<Error>(reply.error());
+  if (!response) {
+    return tl::unexpected<Error>(response.error());
   }
-  if (reply->result_int() != 200) {
+  if (response->result_int() != 200) {
     return Fail(ErrorCode::eUnavailable,
-                aAddress + " answered " + std::to_string(reply->result_int()));
+                aAddress + " responded with status " +
+                  std::to_string(response->result_int()));
   }
-  return reply->body();
+  return response->body();
 }
 
 } // namespace toucanshed
--- a/src/cli/Client.h
+++ b/src/cli/Client.h
@@ -1,5 +1,5 @@
 /** \file
- * The command line's calls to a daemon's operator port.
+ * HTTP calls from the command line to a daemon's operator port.
  */
 #pragma once
 
@@ -10,12 +10,12 @@
 
 namespace toucanshed {
 
-/** Sends one request to IP:PORT and waits for the whole answer.
+/** Sends one request to IP:PORT and waits for the complete response.
  * Thread safety: may be called from any thread. */
 Result<HttpResponse>
 CallDaemon(const std::string& aAddress, HttpRequest aRequest);
 
-/** GET of a page; an answer other than 200 is an error. */
+/** Fetches a page with GET; a status other than 200 is an error. */
 Result<std::string>
 GetPage(const std::string& aAddress, const std::string& aTarget);
 
--- a/src/cli/Commands.cpp
+++ b/src/cli/Commands.cpp
@@ -59,28 +59,28 @@
 }
 
 ExitCode
-PrintApplyResult(const std::string& aService, const HttpResponse& aReply)
+PrintApplyResult(const std::string& aService, const HttpResponse& aResponse)
 {
   constexpr unsigned kOk = 200;
   constexpr unsigned kConflict = 409;
-  const auto answer = ParseJsonObject(aReply.body());
-  if (!answer) {
+  const auto result = ParseJsonObject(aResponse.body());
+  if (!result) {
     return PrintError(Error{ ErrorCode::eProtocol,
-                             "the daemon's answer is no "
-                             "JSON object" },
+                             "the daemon's response is not "
+                             "a JSON object" },
                       ExitCode::eUnreachable);
   }
-  if (aReply.result_int() != kOk) {
-    std::cerr << aService << ": refused: " << StringOf(*answer, "error")
+  if (aResponse.result_int() != kOk) {
+    std::cerr << aService << ": refused: " << StringOf(*result, "error")
               << "\n";
-    if (aReply.result_int() == kConflict) {
+    if (aResponse.result_int() == kConflict) {
       return ExitCode::eConflict;
     }
-    return aReply.result_int() < 500 ? ExitCode::eInvalidFile
-                                     : ExitCode::eUnreachable;
+    return aResponse.result_int() < 500 ? ExitCode::eInvalidFile
+                                        : ExitCode::eUnreachable;
   }
-  std::cout << aService << ": revision " << NumberOf(*answer, "revision");
-  const auto* behind = answer->if_contains("behind");
+  std::cout << aService << ": revision " << NumberOf(*result, "revision");
+  const auto* behind = result->if_contains("behind");
   if (behind == nullptr) {
     std::cout << " accepted\n";
     return ExitCode::eOk;
@@ -115,14 +115,14 @@
   *change.mutable_document() = aDocument;
   std::string body;
   static_cast<void>(google::protobuf::util::MessageToJsonString(change, &body));
-  const auto reply = CallDaemon(
+  const auto response = CallDaemon(
     aOptions.daemon,
     MakeRequest(
       http::verb::post, aOptions.wait ? "/config?wait=1" : "/config", body));
-  if (!reply) {
-    return PrintError(reply.error(), ExitCode::eUnreachable);
+  if (!response) {
+    return PrintError(response.error(), ExitCode::eUnreachable);
   }
-  return PrintApplyResult(aDocument.service(), *reply);
+  return PrintApplyResult(aDocument.service(), *response);
 }
 
 } // namespace
@@ -134,19 +134,19 @@
   if (!text) {
     return PrintError(text.error(), ExitCode::eInvalidFile);
   }
-  std::vector<ValidationError> complaints;
+  std::vector<ValidationError> errors;
   if (aSettings) {
     const auto parsed = ParseSettings(*text);
-    complaints = parsed ? complaints : parsed.error();
+    errors = parsed ? errors : parsed.error();
   } else {
     const auto parsed = ParseConfiguration(*text);
-    complaints = parsed ? complaints : parsed.error();
+    errors = parsed ? errors : parsed.error();
   }
-  if (complaints.empty()) {
+  if (errors.empty()) {
     std::cout << aPath << ": valid\n";
     return ExitCode::eOk;
   }
-  std::cerr << FormatValidationErrors(complaints);
+  std::cerr << FormatValidationErrors(errors);
   return ExitCode::eInvalidFile;
 }
 
@@ -242,7 +242,7 @@
   for (const std::string& daemon : aDaemons) {
     const auto page = GetPage(daemon, "/events");
     if (!page) {
-      // The others' events are worth having without it.
+      // The events of the other daemons are useful without this one.
       PrintError(page.error(), ExitCode::eUnreachable);
       continue;
     }
--- a/src/cli/Commands.h
+++ b/src/cli/Commands.h
@@ -1,5 +1,5 @@
 /** \file
- * The subcommands of the operators' command line.
+ * The subcommands of the command line for operators.
  */
 #pragma once
 
@@ -14,10 +14,10 @@
 {
   eOk = 0,
   eUsage = 2,                // wrong command line
-  eInvalidFile = 3,          // a file with mistakes, each named
-  eConflict = 4,             // another change was first
-  eUnreachable = 5,          // a daemon or the log does not answer
-  eNotAppliedEverywhere = 6, // in force, but not everywhere in time
+  eInvalidFile = 3,          // a file with errors; each one is printed
+  eConflict = 4,             // another change was applied first
+  eUnreachable = 5,          // a daemon or the log does not respond
+  eNotAppliedEverywhere = 6, // in force, but not at every daemon in time
 };
 
 ExitCode
@@ -33,7 +33,8 @@
   std::uint64_t baseRevision = 0;
 };
 
-/** Applies each document of the file in turn; stops at the first refusal. */
+/** Applies the documents of the file in order; stops at the first one that is
+ * refused. */
 ExitCode
 RunApply(const ApplyOptions& aOptions);
 
@@ -44,11 +45,11 @@
 RunRollouts(const std::string& aDaemon);
 
 /** Writes report.html and report.json from log files into a folder, which is
- * made if it is missing. */
+ * created if it does not exist. */
 ExitCode
 RunReport(const std::vector<std::string>& aFiles, const std::string& aFolder);
 
-/** Events of daemons (IP:PORT) and of log files. */
+/** Prints the merged events of daemons (IP:PORT) and of log files. */
 ExitCode
 RunTimeline(const std::vector<std::string>& aDaemons,
             const std::vector<std::string>& aFiles,
--- a/src/cli/LogEvents.cpp
+++ b/src/cli/LogEvents.cpp
@@ -19,7 +19,7 @@
   return found == aFields.end() ? std::string{} : found->second;
 }
 
-/** Nothing when the field is missing or no number. */
+/** Empty if the field is missing or is not a number. */
 std::optional<std::int64_t>
 NumberOf(const Fields& aFields, const std::string& aKey)
 {
@@ -27,8 +27,8 @@
   std::int64_t value = 0;
   const auto read =
     std::from_chars(text.data(), text.data() + text.size(), value);
-  const bool whole = !text.empty() && read.ec == std::errc{};
-  return whole ? std::optional(value) : std::nullopt;
+  const bool isNumber = !text.empty() && read.ec == std::errc{};
+  return isNumber ? std::optional(value) : std::nullopt;
 }
 
 std::int64_t
@@ -44,27 +44,27 @@
   if (!status || TextOf(aFields, "request").empty()) {
     return std::nullopt;
   }
-  RequestRecord end;
-  end.request = TextOf(aFields, "request");
-  end.daemon = TextOf(aFields, "process");
-  end.route = TextOf(aFields, "route");
-  end.team = TextOf(aFields, "team");
-  end.backend = TextOf(aFields, "backend");
-  end.reason = TextOf(aFields, "why");
-  end.sharedSection = TextOf(aFields, "shared_part");
-  end.arrivedAt = aAt - Millis(NumberOrZero(aFields, "ms"));
-  end.endedAt = aAt;
-  end.status = static_cast<unsigned>(*status);
-  end.sends = static_cast<unsigned>(NumberOrZero(aFields, "sends"));
-  end.firstTokenMs = NumberOrZero(aFields, "first_ms");
-  end.firstTokenTargetMs = NumberOrZero(aFields, "target_ms");
-  end.maxTokenGapMs = NumberOrZero(aFields, "gap_ms");
-  end.tokenGapTargetMs = NumberOrZero(aFields, "gap_target_ms");
-  end.expectedFirstTokenMs = NumberOrZero(aFields, "expected_ms");
-  end.queuedTokens = NumberOrZero(aFields, "ahead_tokens");
-  end.sharedTokens = NumberOrZero(aFields, "shared_tokens");
-  end.sharedPrefilled = NumberOrZero(aFields, "shared_read") != 0;
-  return end;
+  RequestRecord record;
+  record.request = TextOf(aFields, "request");
+  record.daemon = TextOf(aFields, "process");
+  record.route = TextOf(aFields, "route");
+  record.team = TextOf(aFields, "team");
+  record.backend = TextOf(aFields, "backend");
+  record.reason = TextOf(aFields, "why");
+  record.sharedSection = TextOf(aFields, "shared_part");
+  record.arrivedAt = aAt - Millis(NumberOrZero(aFields, "ms"));
+  record.endedAt = aAt;
+  record.status = static_cast<unsigned>(*status);
+  record.sends = static_cast<unsigned>(NumberOrZero(aFields, "sends"));
+  record.firstTokenMs = NumberOrZero(aFields, "first_ms");
+  record.firstTokenTargetMs = NumberOrZero(aFields, "target_ms");
+  record.maxTokenGapMs = NumberOrZero(aFields, "gap_ms");
+  record.tokenGapTargetMs = NumberOrZero(aFields, "gap_target_ms");
+  record.expectedFirstTokenMs = NumberOrZero(aFields, "expected_ms");
+  record.queuedTokens = NumberOrZero(aFields, "ahead_tokens");
+  record.sharedTokens = NumberOrZero(aFields, "shared_tokens");
+  record.sharedPrefilled = NumberOrZero(aFields, "shared_read") != 0;
+  return record;
 }
 
 std::optional<EngineStage>
@@ -151,11 +151,11 @@
   std::size_t number = 0;
   while (std::getline(aInput, line)) {
     ++number;
-    // Collectors put the machine's name or a time of their own in front.
+    // Log collectors prefix lines with a host name or a time of their own.
     const std::size_t begin = line.find("at=");
-    const bool ours =
+    const bool isEvent =
       begin != std::string::npos && line.find("event=") != std::string::npos;
-    if (!ours) {
+    if (!isEvent) {
       if (!line.empty()) {
         aEvents.unreadable.push_back(
           UnreadableLine{ aFile, number, "not an event" });
@@ -168,12 +168,14 @@
       fields.emplace(key, value);
     }
     const auto at = NumberOf(fields, "at");
-    const bool taken =
+    const bool added =
       at && AddEvent(fields, TimePoint{ at.value_or(0) }, aEvents);
-    if (!taken) {
-      const bool cut = aInput.eof();
+    if (!added) {
+      const bool truncated = aInput.eof();
       aEvents.unreadable.push_back(UnreadableLine{
-        aFile, number, cut ? "cut at the file's end" : "fields missing" });
+        aFile,
+        number,
+        truncated ? "cut at the file's end" : "fields missing" });
     }
   }
   if (number == 0) {
--- a/src/cli/LogEvents.h
+++ b/src/cli/LogEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * The events of daemons' log files that a report is made from.
+ * Parses daemons' log files into the events that a report is made from.
  */
 #pragma once
 
@@ -18,24 +18,24 @@
   std::string daemon;
   std::string route;
   std::string team;
-  std::string backend; // the last one it was sent to
+  std::string backend; // the last back end it was sent to
   std::string reason;
-  std::string sharedSection; // the longest that its prompt shares with others
-  TimePoint arrivedAt;       // of its arrival
-  TimePoint endedAt;         // of the event
-  unsigned status = 0;       // 0: its caller left
+  std::string sharedSection; // longest section that its prompt shares
+  TimePoint arrivedAt;       // when the request arrived
+  TimePoint endedAt;         // when it ended: time of the event
+  unsigned status = 0;       // 0: its caller disconnected
   unsigned sends = 0;
   std::int64_t firstTokenMs = 0;
-  std::int64_t firstTokenTargetMs = 0;   // 0: not known
-  std::int64_t maxTokenGapMs = 0;        // longest pause between two pieces
+  std::int64_t firstTokenTargetMs = 0;   // 0: unknown
+  std::int64_t maxTokenGapMs = 0;        // longest pause between two tokens
   std::int64_t tokenGapTargetMs = 0;     // 0: none
   std::int64_t expectedFirstTokenMs = 0; // of the last send
   std::int64_t queuedTokens = 0;
-  std::int64_t sharedTokens = 0; // of its prompt
-  bool sharedPrefilled = false;  // they were to be read by the engine
+  std::int64_t sharedTokens = 0; // tokens of its prompt that others share
+  bool sharedPrefilled = false;  // the engine had to prefill them
 };
 
-/** A send that was not simply answered. */
+/** An attempt that failed, or that was not the first of its request. */
 struct SendRecord
 {
   std::string request;
@@ -52,7 +52,7 @@
   eCrashed,
 };
 
-/** What a daemon learnt of a back end. */
+/** A change of a back end, as a daemon observed it. */
 struct EngineChange
 {
   std::string backend;
@@ -62,7 +62,7 @@
   TimePoint at;
 };
 
-/** Engines that were ordered. */
+/** An order for a number of engines. */
 struct LoggedScaleOrder
 {
   std::string zone;
@@ -72,7 +72,7 @@
   TimePoint at;
 };
 
-/** A process that started, and in which failure domain. */
+/** The start of a daemon process, with its failure domain. */
 struct DaemonStart
 {
   std::string daemon;
@@ -80,7 +80,7 @@
   TimePoint at;
 };
 
-/** A line that cannot be used. */
+/** A line that cannot be read. */
 struct UnreadableLine
 {
   std::string file;
@@ -99,8 +99,8 @@
   std::size_t eventLines = 0;
 };
 
-/** Adds a file's events. Lines that cannot be read are noted by file and
- * number, and the rest still counts.
+/** Adds a file's events. Lines that cannot be read are recorded with file and
+ * line number; the other lines are still used.
  * Thread safety: none; aEvents belongs to the caller. */
 void
 ReadLogEvents(const std::string& aFile,
--- a/src/cli/ReportHtml.cpp
+++ b/src/cli/ReportHtml.cpp
@@ -11,11 +11,11 @@
 
 constexpr double kPlotWidth = 900;
 constexpr double kPlotHeight = 150;
-constexpr double kPlotLeft = 60; // for the figures beside a plot
+constexpr double kPlotLeft = 60; // for the scale to the left of a plot
 constexpr double kMillisPerSecond = 1000;
-/** Unreadable lines that are named; the JSON has all. */
+/** The page lists at most this many unreadable lines; the JSON lists all. */
 constexpr std::size_t kMaxUnreadableShown = 20;
-/** Lost requests that are shown for each reason, to follow in the logs. */
+/** SLO misses listed for each reason, as a start for a search in the logs. */
 constexpr std::size_t kMaxExamplesPerReason = 3;
 
 constexpr const char* kPageHead =
@@ -29,7 +29,7 @@
   "text{font:11px sans-serif;fill:#444}</style></head><body>"
   "<h1>Requests and their engines</h1>";
 
-/** One colour a reason, and for the lines of a plot. */
+/** Colours of the reasons in the bars, and of the lines in a plot. */
 constexpr std::array<const char*, kSloMissReasonCount> kColours{
   "#1f77b4", "#ff7f0e", "#d62728", "#9467bd", "#8c564b", "#e377c2",
   "#2ca02c", "#bcbd22", "#17becf", "#7f7f7f", "#aec7e8", "#c7c7c7"
@@ -65,14 +65,14 @@
   return escaped;
 }
 
-/** One line of a plot: a value a window. */
+/** One line of a plot, with one value per window. */
 struct Series
 {
   std::string name;
   std::vector<double> values;
 };
 
-/** A plot's frame: its height stands for aMost, its width for all windows. */
+/** The scale of a plot: its height is maxValue, its width all windows. */
 struct PlotFrame
 {
   double maxValue = 1;
@@ -97,17 +97,17 @@
          "\">" + aText + "</text>";
 }
 
-/** Opens a plot with its title, scale and time axis. */
+/** Starts a plot with its title, scale and time axis. */
 std::string
 BeginPlot(const std::string& aTitle,
           const PlotFrame& aFrame,
           const std::vector<ReportWindow>& aWindows)
 {
-  constexpr double kBelow = 36; // for the axis and the legend
+  constexpr double kFooterHeight = 36; // for the axis and the legend
   constexpr std::size_t kMarks = 10;
   std::string svg = "<h3>" + aTitle + "</h3><svg width=\"" +
                     FormatNumber(kPlotWidth) + "\" height=\"" +
-                    FormatNumber(kPlotHeight + kBelow) + "\">";
+                    FormatNumber(kPlotHeight + kFooterHeight) + "\">";
   svg += "<rect x=\"" + FormatNumber(kPlotLeft) + "\" y=\"0\" width=\"" +
          FormatNumber(kPlotWidth - kPlotLeft) + "\" height=\"" +
          FormatNumber(kPlotHeight) + "\" fill=\"#f7f7f7\"/>";
@@ -257,7 +257,7 @@
   return table + "</table>";
 }
 
-/** For each reason a few requests, with what to look for in the logs. */
+/** Lists a few requests for each reason, with their identifiers in the logs. */
 std::string
 ExampleTable(const SloReport& aReport)
 {
@@ -266,18 +266,18 @@
     "<th>request</th><th>at</th><th>back end</th><th>first token ms</th>"
     "<th>expected ms</th></tr>";
   std::array<std::size_t, kSloMissReasonCount> shown{};
-  for (const SloMiss& lost : aReport.sloMisses) {
-    std::size_t& count = shown.at(static_cast<std::size_t>(lost.reason));
+  for (const SloMiss& miss : aReport.sloMisses) {
+    std::size_t& count = shown.at(static_cast<std::size_t>(miss.reason));
     if (count++ >= kMaxExamplesPerReason) {
       continue;
     }
     const double seconds =
-      static_cast<double>(lost.arrivalMs) / kMillisPerSecond;
-    table += "<tr><td>" + std::string(NameOf(lost.reason)) + "</td><td>" +
-             Escape(lost.request) + "</td><td>" + FormatNumber(seconds) +
-             " s</td><td>" + Escape(lost.backend) + "</td><td>" +
-             std::to_string(lost.firstTokenMs) + "</td><td>" +
-             std::to_string(lost.expectedFirstTokenMs) + "</td></tr>";
+      static_cast<double>(miss.arrivalMs) / kMillisPerSecond;
+    table += "<tr><td>" + std::string(NameOf(miss.reason)) + "</td><td>" +
+             Escape(miss.request) + "</td><td>" + FormatNumber(seconds) +
+             " s</td><td>" + Escape(miss.backend) + "</td><td>" +
+             std::to_string(miss.firstTokenMs) + "</td><td>" +
+             std::to_string(miss.expectedFirstTokenMs) + "</td></tr>";
   }
   return table + "</table>";
 }
--- a/src/cli/ReportHtml.h
+++ b/src/cli/ReportHtml.h
@@ -1,5 +1,5 @@
 /** \file
- * A report as one HTML page with plots, for people.
+ * Renders a report as one HTML page with plots, for operators to read.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 struct SloReport;
 
-/** One page without scripts or anything from the network.
+/** The page has no scripts and loads nothing from the network.
  * Thread safety: pure. */
 std::string
 RenderReportHtml(const SloReport& aReport);
--- a/src/cli/ReportJson.cpp
+++ b/src/cli/ReportJson.cpp
@@ -68,26 +68,26 @@
 }
 
 json::object
-ToJson(const SloMiss& aLost)
+ToJson(const SloMiss& aMiss)
 {
-  return { { "request", aLost.request },
-           { "route", aLost.route },
-           { "team", aLost.team },
-           { "domain", aLost.zone },
-           { "backend", aLost.backend },
-           { "at_ms", aLost.arrivalMs },
-           { "fate", NameOf(aLost.outcome) },
-           { "reason", NameOf(aLost.reason) },
-           { "first_ms", aLost.firstTokenMs },
-           { "expected_ms", aLost.expectedFirstTokenMs } };
+  return { { "request", aMiss.request },
+           { "route", aMiss.route },
+           { "team", aMiss.team },
+           { "domain", aMiss.zone },
+           { "backend", aMiss.backend },
+           { "at_ms", aMiss.arrivalMs },
+           { "fate", NameOf(aMiss.outcome) },
+           { "reason", NameOf(aMiss.reason) },
+           { "first_ms", aMiss.firstTokenMs },
+           { "expected_ms", aMiss.expectedFirstTokenMs } };
 }
 
 json::object
-ToJson(const UnreadableLine& aBad)
+ToJson(const UnreadableLine& aLine)
 {
-  return { { "file", aBad.file },
-           { "line", aBad.line },
-           { "reason", aBad.reason } };
+  return { { "file", aLine.file },
+           { "line", aLine.line },
+           { "reason", aLine.reason } };
 }
 
 template<typename Rows>
@@ -106,20 +106,21 @@
 std::string
 RenderReportJson(const SloReport& aReport)
 {
-  json::object again;
+  json::object recomputedTokens;
   for (const auto& [backend, tokens] : aReport.recomputedTokensByBackend) {
-    again[backend] = tokens;
+    recomputedTokens[backend] = tokens;
   }
-  const json::object whole{ { "lines", aReport.eventLines },
-                            { "all", ToJson(aReport.all) },
-                            { "by_route", ToJson(aReport.byRoute) },
-                            { "by_team", ToJson(aReport.byTeam) },
-                            { "by_domain", ToJson(aReport.byZone) },
-                            { "windows", ToArray(aReport.windows) },
-                            { "read_again_by_backend", std::move(again) },
-                            { "lost", ToArray(aReport.sloMisses) },
-                            { "unreadable", ToArray(aReport.unreadable) } };
-  return json::serialize(whole) + "\n";
+  const json::object report{ { "lines", aReport.eventLines },
+                             { "all", ToJson(aReport.all) },
+                             { "by_route", ToJson(aReport.byRoute) },
+                             { "by_team", ToJson(aReport.byTeam) },
+                             { "by_domain", ToJson(aReport.byZone) },
+                             { "windows", ToArray(aReport.windows) },
+                             { "read_again_by_backend",
+                               std::move(recomputedTokens) },
+                             { "lost", ToArray(aReport.sloMisses) },
+                             { "unreadable", ToArray(aReport.unreadable) } };
+  return json::serialize(report) + "\n";
 }
 
 } // namespace toucanshed
--- a/src/cli/ReportJson.h
+++ b/src/cli/ReportJson.h
@@ -1,5 +1,5 @@
 /** \file
- * A report as JSON, for programs.
+ * Renders a report as JSON, for programs to read.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 struct SloReport;
 
-/** Everything that the page shows, and each lost request.
+/** Contains everything that the HTML page shows, and every SLO miss.
  * Thread safety: pure. */
 std::string
 RenderReportJson(const SloReport& aReport);
--- a/src/cli/SloMissReason.cpp
+++ b/src/cli/SloMissReason.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/** An engine's crash explains what ended there within this long around it. */
+/** A crash of an engine explains a request that ended at that engine at most
+ * this long before or after it. */
 constexpr Millis kCrashWindow{ 2500 };
-/** An engine that was told to leave goes within this long. */
+/** An engine that reports that it is leaving is gone within this time. */
 constexpr Millis kLeaveWindow{ 12000 };
 
 constexpr unsigned kOk = 200;
@@ -19,17 +20,18 @@
 constexpr unsigned kServiceUnavailable = 503;
 
 std::optional<TimePoint>
-StageReachedAt(const EngineHistories& aLives,
+StageReachedAt(const EngineHistories& aHistories,
                const std::string& aBackend,
                EngineStage aStage)
 {
-  const auto life = aLives.find(aBackend);
-  if (life == aLives.end()) {
+  const auto history = aHistories.find(aBackend);
+  if (history == aHistories.end()) {
     return std::nullopt;
   }
-  const auto found = life->second.firstSeenAt.find(aStage);
-  return found == life->second.firstSeenAt.end() ? std::nullopt
-                                                 : std::optional(found->second);
+  const auto found = history->second.firstSeenAt.find(aStage);
+  return found == history->second.firstSeenAt.end()
+           ? std::nullopt
+           : std::optional(found->second);
 }
 
 bool
@@ -38,19 +40,22 @@
   return aText.find(aPart) != std::string::npos;
 }
 
-/** What is known of the engine that a request was last at. */
+/** The reason that the state of the engine gives, if it was crashing or leaving
+ * when the request ended at aAt. */
 std::optional<SloMissReason>
-EngineReason(const EngineHistories& aLives,
+EngineReason(const EngineHistories& aHistories,
              const std::string& aBackend,
              TimePoint aAt)
 {
-  const auto crashed = StageReachedAt(aLives, aBackend, EngineStage::eCrashed);
-  const bool around =
+  const auto crashed =
+    StageReachedAt(aHistories, aBackend, EngineStage::eCrashed);
+  const bool nearCrash =
     crashed && *crashed - aAt <= kCrashWindow && aAt - *crashed <= kCrashWindow;
-  if (around) {
+  if (nearCrash) {
     return SloMissReason::eEngineCrashed;
   }
-  const auto leaving = StageReachedAt(aLives, aBackend, EngineStage::eLeaving);
+  const auto leaving =
+    StageReachedAt(aHistories, aBackend, EngineStage::eLeaving);
   if (leaving && aAt >= *leaving && aAt - *leaving <= kLeaveWindow) {
     return SloMissReason::eEngineLeft;
   }
@@ -58,24 +63,24 @@
 }
 
 std::optional<SloMissReason>
-RefusalReason(const RequestRecord& aEnd)
+RefusalReason(const RequestRecord& aRequest)
 {
-  if (aEnd.status == kTooManyRequests) {
+  if (aRequest.status == kTooManyRequests) {
     return SloMissReason::eOverLimit;
   }
-  if (Contains(aEnd.reason, "no back end")) {
+  if (Contains(aRequest.reason, "no back end")) {
     return SloMissReason::eNoEngine;
   }
-  if (Contains(aEnd.reason, "too much to read")) {
+  if (Contains(aRequest.reason, "too much to read")) {
     return SloMissReason::eBehindPrompts;
   }
-  if (Contains(aEnd.reason, "full")) {
+  if (Contains(aRequest.reason, "full")) {
     return SloMissReason::eEnginesFull;
   }
-  if (Contains(aEnd.reason, "no configuration")) {
+  if (Contains(aRequest.reason, "no configuration")) {
     return SloMissReason::eDaemonStarting;
   }
-  if (Contains(aEnd.reason, "no time")) {
+  if (Contains(aRequest.reason, "no time")) {
     return SloMissReason::eLittleTime;
   }
   return std::nullopt;
@@ -88,17 +93,17 @@
 }
 
 SloMissReason
-LateResponseReason(const RequestRecord& aEnd)
+LateResponseReason(const RequestRecord& aRequest)
 {
   const std::int64_t wait =
-    std::max(aEnd.expectedFirstTokenMs, aEnd.firstTokenMs / 2);
-  const bool behind =
-    aEnd.queuedTokens > 0 && aEnd.expectedFirstTokenMs * 2 >= wait;
-  if (behind) {
+    std::max(aRequest.expectedFirstTokenMs, aRequest.firstTokenMs / 2);
+  const bool waitedForPrompts =
+    aRequest.queuedTokens > 0 && aRequest.expectedFirstTokenMs * 2 >= wait;
+  if (waitedForPrompts) {
     return SloMissReason::eBehindPrompts;
   }
-  return aEnd.sends > 0 ? SloMissReason::eEngineSlow
-                        : SloMissReason::eUnexplained;
+  return aRequest.sends > 0 ? SloMissReason::eEngineSlow
+                            : SloMissReason::eUnexplained;
 }
 
 } // namespace
@@ -117,19 +122,19 @@
 EngineHistories
 EngineHistoriesOf(const LogEvents& aEvents)
 {
-  EngineHistories lives;
+  EngineHistories histories;
   for (const EngineChange& change : aEvents.engineChanges) {
-    EngineHistory& life = lives[change.backend];
+    EngineHistory& history = histories[change.backend];
     const auto [entry, isNew] =
-      life.firstSeenAt.try_emplace(change.stage, change.at);
+      history.firstSeenAt.try_emplace(change.stage, change.at);
     if (!isNew) {
       entry->second = std::min(entry->second, change.at);
     }
     if (!change.service.empty()) {
-      life.service = change.service;
+      history.service = change.service;
     }
   }
-  return lives;
+  return histories;
 }
 
 FirstFailedSends
@@ -145,54 +150,56 @@
 }
 
 SloOutcome
-SloOutcomeOf(const RequestRecord& aEnd)
+SloOutcomeOf(const RequestRecord& aRequest)
 {
-  if (aEnd.status == 0) {
+  if (aRequest.status == 0) {
     return SloOutcome::eNotCounted;
   }
-  if (aEnd.status == kTooManyRequests || aEnd.status == kServiceUnavailable) {
+  if (aRequest.status == kTooManyRequests ||
+      aRequest.status == kServiceUnavailable) {
     return SloOutcome::eRefused;
   }
-  if (aEnd.status >= kServerError || Contains(aEnd.reason, "stream cut")) {
+  if (aRequest.status >= kServerError ||
+      Contains(aRequest.reason, "stream cut")) {
     return SloOutcome::eFailed;
   }
-  if (aEnd.status != kOk) {
+  if (aRequest.status != kOk) {
     return SloOutcome::eNotCounted;
   }
-  const bool late =
-    aEnd.firstTokenTargetMs > 0 && aEnd.firstTokenMs > aEnd.firstTokenTargetMs;
-  const bool paused =
-    aEnd.tokenGapTargetMs > 0 && aEnd.maxTokenGapMs > aEnd.tokenGapTargetMs;
+  const bool late = aRequest.firstTokenTargetMs > 0 &&
+                    aRequest.firstTokenMs > aRequest.firstTokenTargetMs;
+  const bool paused = aRequest.tokenGapTargetMs > 0 &&
+                      aRequest.maxTokenGapMs > aRequest.tokenGapTargetMs;
   return late || paused ? SloOutcome::eLate : SloOutcome::eOnTime;
 }
 
 SloMissReason
-SloMissReasonOf(const RequestRecord& aEnd,
-                SloOutcome aFate,
-                const EngineHistories& aLives,
+SloMissReasonOf(const RequestRecord& aRequest,
+                SloOutcome aOutcome,
+                const EngineHistories& aHistories,
                 const FirstFailedSends& aSends)
 {
-  if (aFate == SloOutcome::eRefused) {
-    if (const auto reason = RefusalReason(aEnd)) {
+  if (aOutcome == SloOutcome::eRefused) {
+    if (const auto reason = RefusalReason(aRequest)) {
       return *reason;
     }
   }
-  const auto sent = aSends.find(aEnd.request);
+  const auto sent = aSends.find(aRequest.request);
   const std::string& backend =
-    sent == aSends.end() ? aEnd.backend : sent->second.backend;
-  if (const auto reason = EngineReason(aLives, backend, aEnd.endedAt)) {
+    sent == aSends.end() ? aRequest.backend : sent->second.backend;
+  if (const auto reason = EngineReason(aHistories, backend, aRequest.endedAt)) {
     return *reason;
   }
   const std::string& why =
-    sent == aSends.end() ? aEnd.reason : sent->second.reason;
+    sent == aSends.end() ? aRequest.reason : sent->second.reason;
   if (IsTimeout(why)) {
     return SloMissReason::eEngineHung;
   }
-  if (sent != aSends.end() || aFate == SloOutcome::eFailed) {
+  if (sent != aSends.end() || aOutcome == SloOutcome::eFailed) {
     return SloMissReason::eEngineFailed;
   }
-  return aFate == SloOutcome::eLate ? LateResponseReason(aEnd)
-                                    : SloMissReason::eUnexplained;
+  return aOutcome == SloOutcome::eLate ? LateResponseReason(aRequest)
+                                       : SloMissReason::eUnexplained;
 }
 
 } // namespace toucanshed
--- a/src/cli/SloMissReason.h
+++ b/src/cli/SloMissReason.h
@@ -1,6 +1,6 @@
 /** \file
- * Why a request was not served on time, from what the logs say of it and of the
- * engines it was sent to.
+ * Finds out why a request was not served on time, from the log events of the
+ * request and of the engines it was sent to.
  */
 #pragma once
 
@@ -19,21 +19,21 @@
   eLate,
   eRefused,
   eFailed,
-  eNotCounted, // not allowed, or its caller left
+  eNotCounted, // rejected with another status, or its caller disconnected
 };
 
 /** Why a request was not served on time. */
 enum class SloMissReason
 {
-  eBehindPrompts, // other prompts were to be read before its own
+  eBehindPrompts, // the engine had other prompts to prefill first
   eEngineLeft,
   eEngineCrashed,
   eEngineHung,
-  eEngineFailed, // its own failure, or an answer that was no answer
-  eEngineSlow,   // nothing ahead, and far later than expected
+  eEngineFailed, // the engine failed, or sent an invalid response
+  eEngineSlow,   // no queued prompts, and far later than expected
   eNoEngine,
   eEnginesFull,
-  eLittleTime, // too little was left when it was admitted
+  eLittleTime, // too little time was left when it was admitted
   eOverLimit,
   eDaemonStarting,
   eUnexplained,
@@ -42,11 +42,11 @@
 constexpr std::size_t kSloMissReasonCount =
   static_cast<std::size_t>(SloMissReason::eUnexplained) + 1;
 
-/** The one word that the report uses. */
+/** The name that the report prints, such as "engine_left". */
 std::string_view
 NameOf(SloMissReason aReason);
 
-/** When an engine was seen in each stage first. */
+/** When an engine was first observed in each stage. */
 struct EngineHistory
 {
   std::map<EngineStage, TimePoint> firstSeenAt;
@@ -55,24 +55,26 @@
 
 using EngineHistories = std::map<std::string, EngineHistory>;
 
-/** Thread safety: pure, like all functions here. */
+/** The histories of all engines in aEvents, by engine.
+ * Thread safety: pure, like all functions here. */
 EngineHistories
 EngineHistoriesOf(const LogEvents& aEvents);
 
-/** Of a request that was sent more than once, how its first send ended. */
+/** For each request with a failed attempt, its first failed attempt. */
 using FirstFailedSends = std::map<std::string, SendRecord>;
 
 FirstFailedSends
 FirstFailedSendsOf(const LogEvents& aEvents);
 
 SloOutcome
-SloOutcomeOf(const RequestRecord& aEnd);
+SloOutcomeOf(const RequestRecord& aRequest);
 
-/** Precondition: aFate is that of aEnd; late, refused or failed. */
+/** Precondition: aOutcome is that of aRequest, and is late, refused or failed.
+ */
 SloMissReason
-SloMissReasonOf(const RequestRecord& aEnd,
-                SloOutcome aFate,
-                const EngineHistories& aLives,
+SloMissReasonOf(const RequestRecord& aRequest,
+                SloOutcome aOutcome,
+                const EngineHistories& aHistories,
                 const FirstFailedSends& aSends);
 
 } // namespace toucanshed
--- a/src/cli/SloReport.cpp
+++ b/src/cli/SloReport.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr Millis kWindowLength{ 2000 };
-/** A part that was used within this long is still held by the engine that read
- * it, as a rule. */
+/** A prompt section that was used within this time is usually still cached by
+ * the engine that prefilled it. */
 constexpr Millis kCacheRetention{ 10000 };
 
 void
-Count(RequestCounts& aCounts, SloOutcome aFate, SloMissReason aReason)
+Count(RequestCounts& aCounts, SloOutcome aOutcome, SloMissReason aReason)
 {
   ++aCounts.total;
-  switch (aFate) {
+  switch (aOutcome) {
     case SloOutcome::eOnTime:
       ++aCounts.onTime;
       return;
@@ -35,17 +35,18 @@
 }
 
 std::int64_t
-Quantile(std::vector<std::int64_t> aValues, double aPart)
+Quantile(std::vector<std::int64_t> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
   const auto last = static_cast<double>(aValues.size() - 1);
-  return aValues[static_cast<std::size_t>(last * aPart)];
+  return aValues[static_cast<std::size_t>(last * aFraction)];
 }
 
-/** What one window's requests saw, until its figures are worked out. */
+/** The samples of one window's requests, from which its figures are computed.
+ */
 struct WindowSamples
 {
   std::vector<std::int64_t> firstTokenMs;
@@ -53,7 +54,7 @@
   double queuedTokens = 0;
 };
 
-/** Builds the windows, request by request. */
+/** Builds the windows from the requests. */
 class WindowBuilder
 {
 public:
@@ -75,36 +76,36 @@
     return this->windows[this->IndexOf(aAt)];
   }
 
-  void AddSample(const RequestRecord& aEnd)
+  void AddSample(const RequestRecord& aRequest)
   {
-    if (aEnd.sends == 0) {
+    if (aRequest.sends == 0) {
       return;
     }
-    WindowSamples& sample = this->samples[this->IndexOf(aEnd.arrivedAt)];
-    sample.firstTokenMs.push_back(aEnd.firstTokenMs);
-    sample.expectedFirstTokenMs.push_back(aEnd.expectedFirstTokenMs);
-    sample.queuedTokens += static_cast<double>(aEnd.queuedTokens);
+    WindowSamples& sample = this->samples[this->IndexOf(aRequest.arrivedAt)];
+    sample.firstTokenMs.push_back(aRequest.firstTokenMs);
+    sample.expectedFirstTokenMs.push_back(aRequest.expectedFirstTokenMs);
+    sample.queuedTokens += static_cast<double>(aRequest.queuedTokens);
   }
 
-  void CountEngines(const EngineHistories& aLives)
+  void CountEngines(const EngineHistories& aHistories)
   {
-    for (const auto& [backend, life] : aLives) {
-      const auto listed = life.firstSeenAt.find(EngineStage::eListed);
-      if (listed == life.firstSeenAt.end()) {
+    for (const auto& [backend, history] : aHistories) {
+      const auto listed = history.firstSeenAt.find(EngineStage::eListed);
+      if (listed == history.firstSeenAt.end()) {
         continue;
       }
       for (ReportWindow& window : this->windows) {
         const TimePoint at = this->start + Millis(window.startMs);
-        const bool left = HasReached(life, EngineStage::eLeaving, at);
-        const bool gone = HasReached(life, EngineStage::eGone, at);
-        const bool here = listed->second <= at && !gone;
-        window.enginesPresent += here && !left ? 1 : 0;
-        window.enginesLeaving += here && left ? 1 : 0;
+        const bool isLeaving = HasReached(history, EngineStage::eLeaving, at);
+        const bool gone = HasReached(history, EngineStage::eGone, at);
+        const bool present = listed->second <= at && !gone;
+        window.enginesPresent += present && !isLeaving ? 1 : 0;
+        window.enginesLeaving += present && isLeaving ? 1 : 0;
       }
     }
   }
 
-  /** Orders stand until the next one for the same engines. */
+  /** An order is current until the next one for the same engines. */
   void CountOrders(std::vector<LoggedScaleOrder> aOrders)
   {
     std::sort(
@@ -115,13 +116,13 @@
       });
     for (ReportWindow& window : this->windows) {
       const TimePoint at = this->start + Millis(window.startMs);
-      std::map<std::pair<std::string, bool>, std::int64_t> standing;
+      std::map<std::pair<std::string, bool>, std::int64_t> currentOrders;
       for (const LoggedScaleOrder& order : aOrders) {
         if (order.accepted && order.at <= at) {
-          standing[{ order.zone, order.reclaimable }] = order.desired;
+          currentOrders[{ order.zone, order.reclaimable }] = order.desired;
         }
       }
-      for (const auto& [group, desired] : standing) {
+      for (const auto& [group, desired] : currentOrders) {
         window.enginesOrdered += static_cast<std::size_t>(desired);
       }
     }
@@ -130,12 +131,12 @@
   std::vector<ReportWindow> Finish()
   {
     constexpr double kMedian = 0.5;
-    constexpr double kHigh = 0.95;
+    constexpr double kP95 = 0.95;
     for (std::size_t i = 0; i < this->windows.size(); ++i) {
       ReportWindow& window = this->windows[i];
       const WindowSamples& sample = this->samples[i];
       window.firstTokenMsMedian = Quantile(sample.firstTokenMs, kMedian);
-      window.firstTokenMsP95 = Quantile(sample.firstTokenMs, kHigh);
+      window.firstTokenMsP95 = Quantile(sample.firstTokenMs, kP95);
       window.expectedFirstTokenMsMedian =
         Quantile(sample.expectedFirstTokenMs, kMedian);
       const auto count = static_cast<double>(sample.firstTokenMs.size());
@@ -145,12 +146,12 @@
   }
 
 private:
-  static bool HasReached(const EngineHistory& aLife,
+  static bool HasReached(const EngineHistory& aHistory,
                          EngineStage aStage,
                          TimePoint aAt)
   {
-    const auto found = aLife.firstSeenAt.find(aStage);
-    return found != aLife.firstSeenAt.end() && found->second <= aAt;
+    const auto found = aHistory.firstSeenAt.find(aStage);
+    return found != aHistory.firstSeenAt.end() && found->second <= aAt;
   }
 
   [[nodiscard]] std::size_t IndexOf(TimePoint aAt) const
@@ -163,7 +164,7 @@
   std::vector<WindowSamples> samples;
 };
 
-/** Failure domains of the daemons, from their starts. */
+/** Failure domains by daemon, from the events of their starts. */
 std::map<std::string, std::string>
 ZonesOf(const LogEvents& aEvents)
 {
@@ -174,24 +175,24 @@
   return domains;
 }
 
-/** Shared tokens that an engine read though some engine had read them lately;
- * in the order of time. */
+/** Counts shared tokens that an engine prefilled although some engine had
+ * prefilled them recently. Requests must be added in the order of arrival. */
 class SharedPrefillTracker
 {
 public:
-  /** \return the tokens of aEnd that were read again. */
-  std::int64_t RecordRequest(const RequestRecord& aEnd)
+  /** \return the tokens of aRequest that were recomputed. */
+  std::int64_t RecordRequest(const RequestRecord& aRequest)
   {
-    if (aEnd.sharedSection.empty() || !aEnd.sharedPrefilled) {
-      this->lastUsedAt[aEnd.sharedSection] = aEnd.arrivedAt;
+    if (aRequest.sharedSection.empty() || !aRequest.sharedPrefilled) {
+      this->lastUsedAt[aRequest.sharedSection] = aRequest.arrivedAt;
       return 0;
     }
     const auto [entry, isNew] =
-      this->lastUsedAt.try_emplace(aEnd.sharedSection, aEnd.arrivedAt);
-    const bool again =
-      !isNew && aEnd.arrivedAt - entry->second <= kCacheRetention;
-    entry->second = aEnd.arrivedAt;
-    return again ? aEnd.sharedTokens : 0;
+      this->lastUsedAt.try_emplace(aRequest.sharedSection, aRequest.arrivedAt);
+    const bool recomputed =
+      !isNew && aRequest.arrivedAt - entry->second <= kCacheRetention;
+    entry->second = aRequest.arrivedAt;
+    return recomputed ? aRequest.sharedTokens : 0;
   }
 
 private:
@@ -216,46 +217,47 @@
     return report;
   }
   const TimePoint start = requests.front().arrivedAt;
-  const EngineHistories lives = EngineHistoriesOf(aEvents);
+  const EngineHistories histories = EngineHistoriesOf(aEvents);
   const FirstFailedSends sends = FirstFailedSendsOf(aEvents);
   auto domains = ZonesOf(aEvents);
   WindowBuilder windows(start, requests.back().arrivedAt);
-  SharedPrefillTracker reads;
-  for (const RequestRecord& end : requests) {
-    const SloOutcome fate = SloOutcomeOf(end);
-    if (fate == SloOutcome::eNotCounted) {
+  SharedPrefillTracker prefills;
+  for (const RequestRecord& request : requests) {
+    const SloOutcome outcome = SloOutcomeOf(request);
+    if (outcome == SloOutcome::eNotCounted) {
       continue;
     }
-    const std::string& domain = domains[end.daemon];
-    const SloMissReason reason = SloMissReasonOf(end, fate, lives, sends);
-    ReportWindow& window = windows.WindowAt(end.arrivedAt);
+    const std::string& domain = domains[request.daemon];
+    const SloMissReason reason =
+      SloMissReasonOf(request, outcome, histories, sends);
+    ReportWindow& window = windows.WindowAt(request.arrivedAt);
     for (RequestCounts* counts : { &report.all,
-                                   &report.byRoute[end.route],
-                                   &report.byTeam[end.team],
+                                   &report.byRoute[request.route],
+                                   &report.byTeam[request.team],
                                    &report.byZone[domain],
                                    &window.counts }) {
-      Count(*counts, fate, reason);
+      Count(*counts, outcome, reason);
     }
-    windows.AddSample(end);
-    const std::int64_t again = reads.RecordRequest(end);
-    window.sharedTokensRecomputed += again;
-    if (again > 0) {
-      report.recomputedTokensByBackend[end.backend] += again;
+    windows.AddSample(request);
+    const std::int64_t recomputedTokens = prefills.RecordRequest(request);
+    window.sharedTokensRecomputed += recomputedTokens;
+    if (recomputedTokens > 0) {
+      report.recomputedTokensByBackend[request.backend] += recomputedTokens;
     }
-    if (fate != SloOutcome::eOnTime) {
-      report.sloMisses.push_back(SloMiss{ end.request,
-                                          end.route,
-                                          end.team,
+    if (outcome != SloOutcome::eOnTime) {
+      report.sloMisses.push_back(SloMiss{ request.request,
+                                          request.route,
+                                          request.team,
                                           domain,
-                                          end.backend,
-                                          (end.arrivedAt - start).count(),
-                                          fate,
+                                          request.backend,
+                                          (request.arrivedAt - start).count(),
+                                          outcome,
                                           reason,
-                                          end.firstTokenMs,
-                                          end.expectedFirstTokenMs });
+                                          request.firstTokenMs,
+                                          request.expectedFirstTokenMs });
     }
   }
-  windows.CountEngines(lives);
+  windows.CountEngines(histories);
   windows.CountOrders(aEvents.scaleOrders);
   report.windows = windows.Finish();
   return report;
--- a/src/cli/SloReport.h
+++ b/src/cli/SloReport.h
@@ -1,6 +1,6 @@
 /** \file
- * Accounts for every request that was late, refused or failed, from the events
- * of the daemons' logs alone.
+ * Finds a reason for every request that was late, refused or failed, using only
+ * the events in the daemons' logs.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace toucanshed {
 
-/** Requests that have something in common. */
+/** Counts of a group of requests: of a route, a team, a zone or a window. */
 struct RequestCounts
 {
   std::size_t total = 0;
@@ -24,18 +24,18 @@
   std::array<std::size_t, kSloMissReasonCount> reasons{};
 };
 
-/** Two seconds of the time that the logs span. */
+/** The figures of two seconds of the time that the logs cover. */
 struct ReportWindow
 {
-  std::int64_t startMs = 0; // from the first request
+  std::int64_t startMs = 0; // after the first request
   RequestCounts counts;
   std::int64_t firstTokenMsMedian = 0;
-  std::int64_t firstTokenMsP95 = 0; // 95 of 100 are below
+  std::int64_t firstTokenMsP95 = 0; // 95th percentile
   std::int64_t expectedFirstTokenMsMedian = 0;
-  double queuedTokensMean = 0; // per request, at the engine it went to
+  double queuedTokensMean = 0; // per request, at the engine it was sent to
   std::size_t enginesPresent = 0;
   std::size_t enginesLeaving = 0;
-  std::size_t enginesOrdered = 0; // by the orders that stand
+  std::size_t enginesOrdered = 0; // by the orders that are current
   std::int64_t sharedTokensRecomputed = 0;
 };
 
--- a/src/cli/StatusView.cpp
+++ b/src/cli/StatusView.cpp
@@ -64,17 +64,18 @@
 } // namespace
 
 std::string
-RenderRollouts(const json::array& aMoves)
+RenderRollouts(const json::array& aRollouts)
 {
   std::ostringstream text;
   text << "move          service        from -> to        step status\n";
-  for (const json::value& entry : aMoves) {
-    const json::object& move = entry.as_object();
-    text << std::left << std::setw(14) << NumberOf(move, "move")
-         << std::setw(15) << StringOf(move, "service") << std::setw(18)
-         << (StringOf(move, "from") + " -> " + StringOf(move, "to"))
-         << std::setw(5) << NumberOf(move, "step") << StringOf(move, "status");
-    const std::string reason = StringOf(move, "reason");
+  for (const json::value& entry : aRollouts) {
+    const json::object& rollout = entry.as_object();
+    text << std::left << std::setw(14) << NumberOf(rollout, "move")
+         << std::setw(15) << StringOf(rollout, "service") << std::setw(18)
+         << (StringOf(rollout, "from") + " -> " + StringOf(rollout, "to"))
+         << std::setw(5) << NumberOf(rollout, "step")
+         << StringOf(rollout, "status");
+    const std::string reason = StringOf(rollout, "reason");
     text << (reason.empty() ? "" : "\n              " + reason) << "\n";
   }
   return text.str();
@@ -84,14 +85,14 @@
 RenderStatus(const json::object& aStatus)
 {
   std::ostringstream text;
-  const std::uint64_t silent = NumberOf(aStatus, "log_heard_ms_ago");
-  constexpr std::uint64_t kSilentMs = 5000;
+  const std::uint64_t logSilentMs = NumberOf(aStatus, "log_heard_ms_ago");
+  constexpr std::uint64_t kMaxLogSilenceMs = 5000;
   text << StringOf(aStatus, "daemon") << " in " << StringOf(aStatus, "zone")
        << ", version " << StringOf(aStatus, "version") << ": "
        << (BoolOf(aStatus, "ready") ? "ready" : "NOT READY") << "\n"
        << "log: "
-       << (silent > kSilentMs
-             ? "SILENT for " + std::to_string(silent / 1000) + " s"
+       << (logSilentMs > kMaxLogSilenceMs
+             ? "SILENT for " + std::to_string(logSilentMs / 1000) + " s"
              : std::string("answers"))
        << ", revision " << NumberOf(aStatus, "applied") << " in force\n"
        << "requests: " << NumberOf(aStatus, "in_flight") << " in flight, "
@@ -100,9 +101,9 @@
        << NumberOf(aStatus, "keys_kept") << " keys kept\n";
   AddMembers(aStatus.at("members").as_array(), text);
   AddBackends(aStatus.at("backends").as_array(), text);
-  const json::array& moves = aStatus.at("moves").as_array();
-  if (!moves.empty()) {
-    text << "\n" << RenderRollouts(moves);
+  const json::array& rollouts = aStatus.at("moves").as_array();
+  if (!rollouts.empty()) {
+    text << "\n" << RenderRollouts(rollouts);
   }
   return text.str();
 }
--- a/src/cli/StatusView.h
+++ b/src/cli/StatusView.h
@@ -1,5 +1,5 @@
 /** \file
- * The state of a daemon as an operator reads it.
+ * Renders the state of a daemon as text for operators.
  */
 #pragma once
 
@@ -8,14 +8,15 @@
 
 namespace toucanshed {
 
-/** What an operator looks for first, in 80 columns: is it ready, does the log
- * answer, who is missing, which moves run, which back ends are in trouble.
+/** The overview for an operator, in 80 columns: whether the daemon is ready,
+ * whether the log responds, which daemons are missing, which rollouts run and
+ * which back ends have problems.
  * Thread safety: pure function. */
 std::string
 RenderStatus(const boost::json::object& aStatus);
 
-/** The moves alone. */
+/** Only the table of rollouts. */
 std::string
-RenderRollouts(const boost::json::array& aMoves);
+RenderRollouts(const boost::json::array& aRollouts);
 
 } // namespace toucanshed
--- a/src/cli/Timeline.cpp
+++ b/src/cli/Timeline.cpp
@@ -31,12 +31,12 @@
   return {};
 }
 
-/** "HH:MM:SS.mmm" of the stamp's milliseconds, in UTC. */
+/** "HH:MM:SS.mmm" of the timestamp's milliseconds, in UTC. */
 std::string
-FormatTimeOfDay(const std::string& aStamp)
+FormatTimeOfDay(const std::string& aTimestamp)
 {
   std::uint64_t ms = 0;
-  std::from_chars(aStamp.data(), aStamp.data() + aStamp.size(), ms);
+  std::from_chars(aTimestamp.data(), aTimestamp.data() + aTimestamp.size(), ms);
   char text[16];
   std::snprintf(text,
                 sizeof(text),
@@ -52,15 +52,15 @@
 MatchAndFollow(const EventFields& aPairs, std::set<std::string>& aFollow)
 {
   const auto& follow = aFollow;
-  const bool named =
+  const bool matches =
     std::any_of(aPairs.begin(), aPairs.end(), [&](const auto& aPair) {
       return follow.count(aPair.second) != 0;
     });
   const std::string attempt = ValueOf(aPairs, "attempt");
-  if (named && !attempt.empty()) {
+  if (matches && !attempt.empty()) {
     aFollow.insert(attempt);
   }
-  return named;
+  return matches;
 }
 
 std::string
@@ -75,12 +75,12 @@
     if (key == "at" || key == "process" || key == "event") {
       continue;
     }
-    const std::string word = key + "=" + value;
-    if (line.size() + 1 + word.size() > kColumns) {
+    const std::string field = key + "=" + value;
+    if (line.size() + 1 + field.size() > kColumns) {
       text += line + "\n";
-      line = std::string(kIndent, ' ') + word;
+      line = std::string(kIndent, ' ') + field;
     } else {
-      line += " " + word;
+      line += " " + field;
     }
   }
   return text + line + "\n";
@@ -122,9 +122,10 @@
   std::vector<TimelineEntry> entries;
   for (const std::string& line : aLines) {
     EventFields pairs = ParseEventLine(line);
-    std::string stamp = ValueOf(pairs, "at");
-    if (!stamp.empty()) {
-      entries.push_back(TimelineEntry{ std::move(stamp), std::move(pairs) });
+    std::string timestamp = ValueOf(pairs, "at");
+    if (!timestamp.empty()) {
+      entries.push_back(
+        TimelineEntry{ std::move(timestamp), std::move(pairs) });
     }
   }
   std::stable_sort(entries.begin(),
--- a/src/cli/Timeline.h
+++ b/src/cli/Timeline.h
@@ -1,5 +1,5 @@
 /** \file
- * One time line out of the events of many processes.
+ * Merges the events of many processes into one timeline.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace toucanshed {
 
-/** One event line, split into its pairs in order. */
+/** The key and value pairs of one event line, in the order of the line. */
 using EventFields = std::vector<std::pair<std::string, std::string>>;
 
 /** Splits "key=value key="quoted value"" lines. Thread safety: pure. */
@@ -17,12 +17,13 @@
 ParseEventLine(std::string_view aLine);
 
 /**
- * Merges event lines into the order of their stamps, which follow cause and
- * effect between the processes, and lays them out in 80 columns.
+ * Sorts event lines by their timestamps and lays them out in 80 columns. The
+ * timestamps are those of a hybrid logical clock: a cause sorts before its
+ * effect, also between processes.
  *
- * \param aFollow keeps only events that bear one of these values; an event
- *   that names a followed request also adds its attempts, so that following a
- *   request shows what its back ends did. Empty keeps all.
+ * \param aFollow keeps only events that contain one of these values. An event
+ *   of a followed request also adds that request's attempts to the values, so
+ *   that the timeline shows what its back ends did. Empty keeps all events.
  */
 std::string
 RenderTimeline(const std::vector<std::string>& aLines,
--- a/src/cli/main/main.cpp
+++ b/src/cli/main/main.cpp
@@ -1,5 +1,5 @@
 /** \file
- * toucanshed: the operators' command line.
+ * toucanshed: the command line for operators.
  */
 #include "base/Version.h"
 #include "cli/Commands.h"
@@ -15,17 +15,17 @@
 constexpr const char* kUsage =
   "toucanshed COMMAND [OPTIONS]\n"
   "  check FILE [--settings]   check a configuration (or settings) file\n"
-  "  apply FILE [--wait]       bring a configuration into force\n"
-  "  status                    what one daemon sees\n"
-  "  moves                     moves between versions\n"
+  "  apply FILE [--wait]       apply a configuration\n"
+  "  status                    the state of one daemon\n"
+  "  moves                     rollouts between versions\n"
   "  timeline                  events of all processes, in causal order\n"
   "  report FILE... --out DIR  which requests were not served on time, and "
   "why\n"
   "  version                   print the version\n"
   "`toucanshed COMMAND --help` lists a command's options. Exit codes: 0 done,\n"
-  "2 wrong command line, 3 a file has mistakes, 4 refused as another change\n"
-  "was first, 5 a daemon or the log does not answer, 6 in force but not\n"
-  "everywhere in time.\n";
+  "2 wrong command line, 3 a file has errors, 4 another change was applied\n"
+  "first, 5 a daemon or the log does not respond, 6 in force but not at every\n"
+  "daemon in time.\n";
 
 constexpr const char* kDefaultDaemon = "127.0.0.1:9100";
 
@@ -53,12 +53,12 @@
         cxxopts::value<std::string>()->default_value(kDefaultDaemon));
   }
   if (aCommand == "apply") {
-    add("wait", "answer once it is in force at every live daemon");
+    add("wait", "return once it is in force at every live daemon");
     add("base",
         "revision the change is based on; by default the one in force",
         cxxopts::value<std::uint64_t>());
     add("author",
-        "who asks, for the record",
+        "author to record with the change",
         cxxopts::value<std::string>()->default_value("operator"));
   }
   if (aCommand == "report") {
@@ -69,76 +69,77 @@
   }
   if (aCommand == "timeline") {
     add("daemons",
-        "operator ports, by commas",
+        "operator ports, separated by commas",
         cxxopts::value<StringList>()->default_value(kDefaultDaemon));
-    add("files", "log files, by commas", cxxopts::value<StringList>());
+    add(
+      "files", "log files, separated by commas", cxxopts::value<StringList>());
     add("follow",
-        "only events that bear one of these values (a request, version, "
-        "instance, move), by commas",
+        "only events that contain one of these values (a request, version, "
+        "instance, move), separated by commas",
         cxxopts::value<StringList>());
   }
   return options;
 }
 
 StringList
-ListOption(const cxxopts::ParseResult& aGiven, const std::string& aName)
+ListOption(const cxxopts::ParseResult& aParsed, const std::string& aName)
 {
-  return aGiven.count(aName) == 0 ? StringList{}
-                                  : aGiven[aName].as<StringList>();
+  return aParsed.count(aName) == 0 ? StringList{}
+                                   : aParsed[aName].as<StringList>();
 }
 
 ExitCode
-RunTimelineCommand(const cxxopts::ParseResult& aGiven)
+RunTimelineCommand(const cxxopts::ParseResult& aParsed)
 {
-  const StringList files = ListOption(aGiven, "files");
-  const bool filesAlone = !files.empty() && aGiven.count("daemons") == 0;
+  const StringList files = ListOption(aParsed, "files");
+  const bool filesOnly = !files.empty() && aParsed.count("daemons") == 0;
   const StringList daemons =
-    filesAlone ? StringList{} : aGiven["daemons"].as<StringList>();
-  return RunTimeline(daemons, files, ListOption(aGiven, "follow"));
+    filesOnly ? StringList{} : aParsed["daemons"].as<StringList>();
+  return RunTimeline(daemons, files, ListOption(aParsed, "follow"));
 }
 
 ExitCode
-RunReportCommand(const cxxopts::ParseResult& aGiven)
+RunReportCommand(const cxxopts::ParseResult& aParsed)
 {
-  const StringList files = ListOption(aGiven, "files");
-  if (files.empty() || aGiven.count("out") == 0) {
+  const StringList files = ListOption(aParsed, "files");
+  if (files.empty() || aParsed.count("out") == 0) {
     std::cerr << "toucanshed: FILE... and --out DIR are expected\n";
     return ExitCode::eUsage;
   }
-  return RunReport(files, aGiven["out"].as<std::string>());
+  return RunReport(files, aParsed["out"].as<std::string>());
 }
 
 ExitCode
-Run(const std::string& aCommand, const cxxopts::ParseResult& aGiven)
+Run(const std::string& aCommand, const cxxopts::ParseResult& aParsed)
 {
   if (aCommand == "timeline") {
-    return RunTimelineCommand(aGiven);
+    return RunTimelineCommand(aParsed);
   }
   if (aCommand == "report") {
-    return RunReportCommand(aGiven);
+    return RunReportCommand(aParsed);
   }
   if (aCommand == "status") {
-    return RunStatus(aGiven["daemon"].as<std::string>());
+    return RunStatus(aParsed["daemon"].as<std::string>());
   }
   if (aCommand == "moves") {
-    return RunRollouts(aGiven["daemon"].as<std::string>());
+    return RunRollouts(aParsed["daemon"].as<std::string>());
   }
-  if (aGiven.count("file") == 0) {
+  if (aParsed.count("file") == 0) {
     std::cerr << "toucanshed: a FILE is expected\n";
     return ExitCode::eUsage;
   }
-  const std::string path = aGiven["file"].as<std::string>();
+  const std::string path = aParsed["file"].as<std::string>();
   if (aCommand == "check") {
-    return RunCheck(path, aGiven.count("settings") != 0);
+    return RunCheck(path, aParsed.count("settings") != 0);
   }
   ApplyOptions options;
   options.path = path;
-  options.daemon = aGiven["daemon"].as<std::string>();
-  options.author = aGiven["author"].as<std::string>();
-  options.wait = aGiven.count("wait") != 0;
-  options.hasBaseRevision = aGiven.count("base") != 0;
+  options.daemon = aParsed["daemon"].as<std::string>();
+  options.author = aParsed["author"].as<std::string>();
+  options.wait = aParsed.count("wait") != 0;
+  options.hasBaseRevision = aParsed.count("base") != 0;
   if (options.hasBaseRevision) {
-    options.baseRevision = aGiven["base"].as<std::uint64_t>();
+    options.baseRevision = aParsed["base"].as<std::uint64_t>();
   }
   return RunApply(options);
 }
@@ -156,20 +157,20 @@
     std::cout << "toucanshed " << kProgramVersion << "\n";
     return ExitCode::eOk;
   }
-  const std::vector<std::string> known{ "check", "apply",    "status",
-                                        "moves", "timeline", "report" };
-  if (std::find(known.begin(), known.end(), command) == known.end()) {
+  const std::vector<std::string> commands{ "check", "apply",    "status",
+                                           "moves", "timeline", "report" };
+  if (std::find(commands.begin(), commands.end(), command) == commands.end()) {
     std::cerr << "toucanshed: no command \"" << command << "\"\n" << kUsage;
     return ExitCode::eUsage;
   }
   try {
     cxxopts::Options options = OptionsOf(command);
-    const auto given = options.parse(aCount - 1, aArguments + 1);
-    if (given.count("help") != 0) {
+    const auto parsed = options.parse(aCount - 1, aArguments + 1);
+    if (parsed.count("help") != 0) {
       std::cout << options.help();
       return ExitCode::eOk;
     }
-    return Run(command, given);
+    return Run(command, parsed);
   } catch (const cxxopts::exceptions::exception& error) {
     std::cerr << "toucanshed: " << error.what() << "\n";
     return ExitCode::eUsage;
