--- a/standin/Balancer.cpp
+++ b/standin/Balancer.cpp
@@ -53,9 +53,9 @@
   timeouts.head = std::chrono::milliseconds(500);
   while (true) {
     HttpRequest request = MakeRequest(http::verb::get, "/readyz");
-    const auto reply = co_await Fetch(
+    const auto response = co_await Fetch(
       this->worker, target.operatorEndpoint, std::move(request), timeouts);
-    target.ready = reply && reply->result_int() == 200;
+    target.ready = response && response->result_int() == 200;
     co_await Sleep(kProbeInterval);
   }
 }
@@ -104,16 +104,16 @@
 Task<void>
 Balancer::RelayBytes(std::shared_ptr<Socket> aFrom, std::shared_ptr<Socket> aTo)
 {
-  std::array<char, kCopyBytes> piece{};
+  std::array<char, kCopyBytes> chunk{};
   boost::system::error_code error;
   while (true) {
     const std::size_t size = co_await aFrom->async_read_some(
-      net::buffer(piece), net::redirect_error(net::use_awaitable, error));
+      net::buffer(chunk), net::redirect_error(net::use_awaitable, error));
     if (error) {
       break;
     }
     co_await net::async_write(*aTo,
-                              net::buffer(piece.data(), size),
+                              net::buffer(chunk.data(), size),
                               net::redirect_error(net::use_awaitable, error));
     if (error) {
       break;
--- a/standin/Balancer.h
+++ b/standin/Balancer.h
@@ -1,6 +1,6 @@
 /** \file
- * Stand-in for the platform's balancer: passes TCP connections to the entry
- * instances that say they are ready, in turn.
+ * Stand-in for the platform's balancer. It forwards TCP connections in turn to
+ * the entry instances that report that they are ready.
  */
 #pragma once
 
--- a/standin/Cloud.cpp
+++ b/standin/Cloud.cpp
@@ -18,11 +18,11 @@
     return MakeResponse(503, "{\"refused\":\"no capacity\"}\n");
   }
   boost::system::error_code error;
-  const auto wanted = json::parse(aRequest.body(), error);
-  if (error || !wanted.is_object()) {
+  const auto parsed = json::parse(aRequest.body(), error);
+  if (error || !parsed.is_object()) {
     return MakeResponse(400, "{\"error\":\"expected an object\"}\n");
   }
-  json::object instance = wanted.as_object();
+  json::object instance = parsed.as_object();
   instance["id"] = "i-" + std::to_string(++this->lastId);
   this->instancesByToken[token] = instance;
   return MakeResponse(200, json::serialize(instance));
@@ -31,16 +31,16 @@
 Task<void>
 Cloud::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
-    co_await aResponder.Send(std::move(*reply));
+  if (auto response = this->faults.HandleRequest(aRequest)) {
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   if (aRequest.method() == http::verb::post) {
-    HttpResponse reply = this->StartInstance(aRequest);
+    HttpResponse response = this->StartInstance(aRequest);
     if (this->faults.ShouldInject("drop_answer_percent")) {
       co_return;
     }
-    co_await aResponder.Send(std::move(reply));
+    co_await aResponder.Send(std::move(response));
     co_return;
   }
   json::array list;
--- a/standin/Cloud.h
+++ b/standin/Cloud.h
@@ -1,7 +1,7 @@
 /** \file
  * Stand-in for the cloud's interface: reclaimable and on-demand instances by
- * zone, prices, refused starts and notices of reclaim. It keeps books only;
- * the processes of a test are started by its script.
+ * zone, prices, refused starts and reclaim notices. It only records the
+ * instances; the script of a test starts the processes.
  */
 #pragma once
 
--- a/standin/Engine.cpp
+++ b/standin/Engine.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-/** A prompt that holds this ends the process when the crash switch is on. */
+/** A prompt that contains this text ends the process if the crash switch is on.
+ */
 constexpr std::string_view kCrashMarker = "CRASH-THE-ENGINE";
 
 std::int64_t
@@ -61,36 +62,36 @@
 Engine::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
   const std::string_view path = PathOf(aRequest.target());
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
+  if (auto response = this->faults.HandleRequest(aRequest)) {
     this->publishedLoad = json::serialize(this->CurrentLoad());
-    co_await aResponder.Send(std::move(*reply));
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   if (path == "/generate") {
     co_await this->Generate(aRequest, aResponder);
     co_return;
   }
-  HttpResponse reply = MakeResponse(404, "{}\n");
+  HttpResponse response = MakeResponse(404, "{}\n");
   if (path == "/load") {
-    reply = MakeResponse(200, this->publishedLoad);
+    response = MakeResponse(200, this->publishedLoad);
   } else if (path == "/health") {
-    reply = MakeResponse(200, "{}\n");
+    response = MakeResponse(200, "{}\n");
   } else if (path == "/cancel") {
     const std::string attempt = StringOf(ObjectOf(aRequest.body()), "attempt");
     if (this->activePrompts.count(attempt) != 0) {
       this->cancelled.insert(attempt);
     }
-    reply = MakeResponse(200, "{}\n");
+    response = MakeResponse(200, "{}\n");
   } else if (path == "/export") {
-    reply = this->Export(aRequest);
+    response = this->Export(aRequest);
   } else if (path == "/import") {
-    reply = this->Import(aRequest);
+    response = this->Import(aRequest);
   } else if (path == "/orders") {
-    reply = this->ApplyOrder(aRequest);
+    response = this->ApplyOrder(aRequest);
   } else if (path == "/cache-events") {
-    reply = this->CacheEvents(aRequest.target());
+    response = this->CacheEvents(aRequest.target());
   }
-  co_await aResponder.Send(std::move(reply));
+  co_await aResponder.Send(std::move(response));
 }
 
 HttpResponse
@@ -127,8 +128,8 @@
 {
   const json::object order = ObjectOf(aRequest.body());
   const auto fencing = static_cast<std::uint64_t>(IntegerOf(order, "fencing"));
-  const bool old = fencing < this->highestFence;
-  if (old && !this->faults.IsOn("ignore_fencing")) {
+  const bool outdated = fencing < this->highestFence;
+  if (outdated && !this->faults.IsOn("ignore_fencing")) {
     return MakeResponse(409, "{\"refused\":\"old fencing number\"}\n");
   }
   this->highestFence = std::max(this->highestFence, fencing);
@@ -146,13 +147,14 @@
   std::uint64_t from = 0;
   std::from_chars(after.data(), after.data() + after.size(), from);
   json::array events;
-  const std::uint64_t newest =
+  const std::uint64_t latest =
     this->cache.Events().empty() ? 0 : this->cache.Events().back().number;
-  const auto late =
+  const auto delayedEvents =
     static_cast<std::uint64_t>(this->faults.Value("late_cache_events"));
   for (const auto& event : this->cache.Events()) {
-    const bool held = late > 0 && event.number + late > newest;
-    if (event.number <= from || held ||
+    const bool withheld =
+      delayedEvents > 0 && event.number + delayedEvents > latest;
+    if (event.number <= from || withheld ||
         this->faults.ShouldInject("lose_cache_event_percent")) {
       continue;
     }
@@ -207,10 +209,10 @@
 std::uint64_t
 Engine::CurrentStepMs() const
 {
-  const auto slow = this->faults.Value("slow_percent");
+  const auto slowPercent = this->faults.Value("slow_percent");
   const std::uint64_t base = this->options.decodeStepMs;
-  return this->IsDegraded() && slow > 0
-           ? base * static_cast<std::uint64_t>(slow) / 100
+  return this->IsDegraded() && slowPercent > 0
+           ? base * static_cast<std::uint64_t>(slowPercent) / 100
            : base;
 }
 
@@ -221,15 +223,16 @@
     ++this->running;
     co_return;
   }
-  auto wake = std::make_shared<net::steady_timer>(this->worker.context);
-  wake->expires_at(std::chrono::steady_clock::time_point::max());
-  const auto place = std::find_if(
+  auto timer = std::make_shared<net::steady_timer>(this->worker.context);
+  timer->expires_at(std::chrono::steady_clock::time_point::max());
+  const auto insertAt = std::find_if(
     this->waiting.begin(),
     this->waiting.end(),
     [&](const WaitingRequest& aOther) { return aOther.priority < aPriority; });
-  this->waiting.insert(place, WaitingRequest{ aPriority, wake });
-  boost::system::error_code woken;
-  co_await wake->async_wait(net::redirect_error(net::use_awaitable, woken));
+  this->waiting.insert(insertAt, WaitingRequest{ aPriority, timer });
+  boost::system::error_code waitError;
+  co_await timer->async_wait(
+    net::redirect_error(net::use_awaitable, waitError));
 }
 
 void
@@ -247,21 +250,21 @@
 Engine::Prefill(const Job& aJob)
 {
   const auto blocks = PrefixBlocks(aJob.prompt);
-  const std::uint64_t held = this->cache.MatchPrefix(blocks) * kWordsPerBlock;
-  const std::uint64_t words = CountWords(aJob.prompt) + aJob.resumeFrom;
-  std::uint64_t fresh = words > held ? words - held : 0;
+  const std::uint64_t cached = this->cache.MatchPrefix(blocks) * kWordsPerBlock;
+  const std::uint64_t tokens = CountWords(aJob.prompt) + aJob.resumeFrom;
+  std::uint64_t uncached = tokens > cached ? tokens - cached : 0;
   const auto state = this->importedTokens.find(aJob.prompt);
   if (state != this->importedTokens.end() && state->second >= aJob.resumeFrom) {
-    fresh = 0;
+    uncached = 0;
     this->importedTokens.erase(state);
   }
   this->cache.Add(blocks);
-  this->totals.promptTokens += words;
-  this->totals.recomputedTokens += aJob.resumeFrom > 0 ? fresh : 0;
-  std::uint64_t wait = fresh / this->options.prefillTokensPerMs;
-  const auto slow = this->faults.Value("slow_percent");
-  if (this->IsDegraded() && slow > 0) {
-    wait = wait * static_cast<std::uint64_t>(slow) / 100;
+  this->totals.promptTokens += tokens;
+  this->totals.recomputedTokens += aJob.resumeFrom > 0 ? uncached : 0;
+  std::uint64_t wait = uncached / this->options.prefillTokensPerMs;
+  const auto slowPercent = this->faults.Value("slow_percent");
+  if (this->IsDegraded() && slowPercent > 0) {
+    wait = wait * static_cast<std::uint64_t>(slowPercent) / 100;
   }
   wait += static_cast<std::uint64_t>(this->faults.Value("delay_ms"));
   co_await Sleep(std::chrono::milliseconds(wait));
@@ -357,10 +360,10 @@
   if (!co_await this->StreamTokens(aJob, aResponder)) {
     co_return;
   }
-  const json::object last{ { "attempt", aJob.attempt },
-                           { "done", true },
-                           { "count", aJob.maxTokens } };
-  co_await aResponder.Write(json::serialize(last) + "\n");
+  const json::object finalEvent{ { "attempt", aJob.attempt },
+                                 { "done", true },
+                                 { "count", aJob.maxTokens } };
+  co_await aResponder.Write(json::serialize(finalEvent) + "\n");
   co_await aResponder.End();
 }
 
--- a/standin/Engine.h
+++ b/standin/Engine.h
@@ -1,5 +1,5 @@
 /** \file
- * Stand-in for a model engine: batches, caches prefixes, honours priorities,
+ * Stand-in for a model engine: batches, caches prefixes, follows priorities,
  * resumes and cancels streams, exports and imports cached state.
  */
 #pragma once
@@ -24,13 +24,13 @@
   std::string service;
   std::string version;
   std::string zone;
-  std::uint64_t slots = 8;               // sequences in one batch
-  std::uint64_t decodeStepMs = 4;        // milliseconds between tokens
-  std::uint64_t prefillTokensPerMs = 20; // prompt words taken in a millisecond
-  std::uint64_t cacheBlocks = 512;       // blocks of prefix cache
+  std::uint64_t slots = 8;                  // sequences in one batch
+  std::uint64_t decodeStepMs = 4;           // milliseconds between tokens
+  std::uint64_t prefillTokensPerMs = 20;    // prompt words prefilled per ms
+  std::uint64_t cacheBlocks = 512;          // blocks of prefix cache
   std::uint64_t loadReportIntervalMs = 200; // age of the load it reports
   std::uint64_t seed = 1;
-  std::string initialFault; // a switch that is on at once
+  std::string initialFault; // a fault switch that is on from the start
 };
 
 /** Thread safety: none; runs on one worker. */
@@ -87,7 +87,7 @@
   std::uint64_t running = 0;
   std::deque<WaitingRequest> waiting;
   std::map<std::string, std::string> activePrompts;    // prompts by attempt
-  std::map<std::string, std::uint64_t> importedTokens; // tokens held by prompt
+  std::map<std::string, std::uint64_t> importedTokens; // counts by prompt
   std::set<std::string> cancelled;
   std::string publishedLoad;
   std::uint64_t highestFence = 0;
--- a/standin/FaultSwitches.h
+++ b/standin/FaultSwitches.h
@@ -21,20 +21,20 @@
   {
   }
 
-  /** The switch's number, 0 when it is off. */
+  /** The value of the switch; 0 if it is off. */
   [[nodiscard]] std::int64_t Value(const std::string& aName) const;
   [[nodiscard]] bool IsOn(const std::string& aName) const
   {
     return this->Value(aName) != 0;
   }
   void Set(const std::string& aName, std::int64_t aValue);
-  /** Draws whether a fault given in percent strikes now. */
+  /** Decides at random whether a fault given in percent occurs now. */
   bool ShouldInject(const std::string& aName);
-  /** How often the switch was turned on, for faults that hit what was open at
-   * that moment. */
+  /** How often the switch was turned on. For faults that affect only the
+   * connections or requests that were open at that moment. */
   [[nodiscard]] std::uint64_t TimesTurnedOn(const std::string& aName) const;
 
-  /** Serves POST /faults {"name": number, ...}; nothing for other requests. */
+  /** Serves POST /faults {"name": number, ...}; empty for other requests. */
   std::optional<HttpResponse> HandleRequest(const HttpRequest& aRequest);
 
 private:
--- a/standin/InstanceListServer.cpp
+++ b/standin/InstanceListServer.cpp
@@ -18,14 +18,15 @@
 std::string
 InstanceListServer::VisibleList()
 {
-  const auto lagNow =
+  const auto totalLag =
     this->lag + std::chrono::milliseconds(this->faults.Value("lag_ms"));
-  const auto edge = std::chrono::steady_clock::now() - lagNow;
-  while (this->snapshots.size() > 1 && this->snapshots[1].publishedAt <= edge) {
+  const auto visibleUntil = std::chrono::steady_clock::now() - totalLag;
+  while (this->snapshots.size() > 1 &&
+         this->snapshots[1].publishedAt <= visibleUntil) {
     this->snapshots.pop_front();
   }
-  const bool visible =
-    !this->snapshots.empty() && this->snapshots.front().publishedAt <= edge;
+  const bool visible = !this->snapshots.empty() &&
+                       this->snapshots.front().publishedAt <= visibleUntil;
   return visible ? this->snapshots.front().text : "[]";
 }
 
@@ -33,8 +34,8 @@
 InstanceListServer::Handle(const HttpRequest& aRequest,
                            HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
-    co_await aResponder.Send(std::move(*reply));
+  if (auto response = this->faults.HandleRequest(aRequest)) {
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   if (this->faults.IsOn("outage")) {
--- a/standin/InstanceListServer.h
+++ b/standin/InstanceListServer.h
@@ -1,5 +1,6 @@
 /** \file
- * Stand-in for the platform's lagging list of live and leaving instances.
+ * Stand-in for the platform's list of live and leaving instances. Changes
+ * become visible after a lag.
  */
 #pragma once
 
--- a/standin/LoadGenerator.cpp
+++ b/standin/LoadGenerator.cpp
@@ -33,13 +33,14 @@
 Task<CallResult<HttpResponse>>
 LoadGenerator::SendRequest(HttpRequest aRequest)
 {
-  // On a new connection each time, so that the balancer spreads them.
-  auto reply = co_await Fetch(this->worker,
-                              this->options.target,
-                              std::move(aRequest),
-                              ClientTimeouts(),
-                              true);
-  co_return reply;
+  // Uses a new connection each time, so that the balancer distributes the
+  // requests.
+  auto response = co_await Fetch(this->worker,
+                                 this->options.target,
+                                 std::move(aRequest),
+                                 ClientTimeouts(),
+                                 true);
+  co_return response;
 }
 
 LoadGenerator::Chat
@@ -98,9 +99,9 @@
 }
 
 void
-LoadGenerator::CountOutcome(Outcome aEnding)
+LoadGenerator::CountOutcome(Outcome aOutcome)
 {
-  switch (aEnding) {
+  switch (aOutcome) {
     case Outcome::eCompleted:
       ++this->report.completed;
       break;
@@ -169,23 +170,23 @@
     co_return Outcome::eInterrupted;
   }
   if (call->Status() != 200) {
-    const Outcome ending = this->OutcomeOf(call->Status(), call->Headers());
-    if (ending == Outcome::eNotRun) {
+    const Outcome outcome = this->OutcomeOf(call->Status(), call->Headers());
+    if (outcome == Outcome::eNotRun) {
       co_await this->WaitRetryAfter(call->Headers());
     }
-    co_return ending;
+    co_return outcome;
   }
   std::string buffer;
   bool done = false;
   while (true) {
-    auto piece = co_await call->ReadChunk();
-    if (!piece) {
+    auto chunk = co_await call->ReadChunk();
+    if (!chunk) {
       co_return Outcome::eInterrupted;
     }
-    if (!piece->has_value()) {
+    if (!chunk->has_value()) {
       break;
     }
-    buffer += **piece;
+    buffer += **chunk;
     const std::uint64_t before = aChat.received;
     if (!this->ConsumeEvents(aChat, buffer, done)) {
       ++this->report.wrongAnswers;
@@ -214,43 +215,44 @@
 LoadGenerator::TryBuffered(Chat& aChat)
 {
   HttpRequest request = this->ChatRequest(aChat);
-  auto reply = co_await this->SendRequest(std::move(request));
-  if (!reply) {
+  auto response = co_await this->SendRequest(std::move(request));
+  if (!response) {
     co_return Outcome::eInterrupted;
   }
-  const Outcome ending = this->OutcomeOf(reply->result_int(), *reply);
-  if (ending == Outcome::eCompleted) {
-    const std::string text = ContentOf(json::parse(reply->body()), "message");
+  const Outcome outcome = this->OutcomeOf(response->result_int(), *response);
+  if (outcome == Outcome::eCompleted) {
+    const std::string text =
+      ContentOf(json::parse(response->body()), "message");
     if (text != FullResponse(aChat.prompt, aChat.maxTokens)) {
       ++this->report.wrongAnswers;
     }
     this->report.tokens += aChat.maxTokens;
   }
-  if (ending == Outcome::eNotRun) {
-    co_await this->WaitRetryAfter(*reply);
+  if (outcome == Outcome::eNotRun) {
+    co_await this->WaitRetryAfter(*response);
   }
-  co_return ending;
+  co_return outcome;
 }
 
 Task<void>
 LoadGenerator::RunChat(Chat aChat, bool aStream)
 {
-  Outcome ending = Outcome::eInterrupted;
+  Outcome outcome = Outcome::eInterrupted;
   for (int tries = 0; tries < kMaxTries; ++tries) {
-    if (tries > 0 && ending == Outcome::eInterrupted) {
+    if (tries > 0 && outcome == Outcome::eInterrupted) {
       ++this->report.resumedStreams;
       co_await Sleep(kPollInterval);
     }
     if (aStream) {
-      ending = co_await this->TryStreamed(aChat);
+      outcome = co_await this->TryStreamed(aChat);
     } else {
-      ending = co_await this->TryBuffered(aChat);
+      outcome = co_await this->TryBuffered(aChat);
     }
-    if (ending == Outcome::eCompleted || ending == Outcome::eMayHaveRun) {
+    if (outcome == Outcome::eCompleted || outcome == Outcome::eMayHaveRun) {
       break;
     }
   }
-  this->CountOutcome(ending);
+  this->CountOutcome(outcome);
 }
 
 Task<bool>
@@ -261,13 +263,14 @@
     co_await Sleep(kPollInterval);
     HttpRequest request = MakeRequest(http::verb::get, aLocation);
     request.set(http::field::authorization, "Bearer " + aChat.team + "-token");
-    auto reply = co_await this->SendRequest(std::move(request));
+    auto response = co_await this->SendRequest(std::move(request));
     const bool ended =
-      reply && HeaderOf(*reply, "Toucanshed-Outcome") == "completed";
+      response && HeaderOf(*response, "Toucanshed-Outcome") == "completed";
     if (!ended) {
       continue;
     }
-    const std::string text = ContentOf(json::parse(reply->body()), "message");
+    const std::string text =
+      ContentOf(json::parse(response->body()), "message");
     if (text != FullResponse(aChat.prompt, aChat.maxTokens)) {
       ++this->report.wrongAnswers;
     }
@@ -280,30 +283,30 @@
 Task<void>
 LoadGenerator::RunAsyncChat(Chat aChat)
 {
-  Outcome ending = Outcome::eInterrupted;
+  Outcome outcome = Outcome::eInterrupted;
   for (int tries = 0; tries < kMaxTries; ++tries) {
     HttpRequest request = this->ChatRequest(aChat);
     request.set("Prefer", "respond-async");
-    auto reply = co_await this->SendRequest(std::move(request));
-    if (reply && reply->result_int() == 202) {
-      const bool whole =
-        co_await this->PollAsyncChat(aChat, HeaderOf(*reply, "Location"));
-      if (!whole) {
+    auto response = co_await this->SendRequest(std::move(request));
+    if (response && response->result_int() == 202) {
+      const bool completed =
+        co_await this->PollAsyncChat(aChat, HeaderOf(*response, "Location"));
+      if (!completed) {
         ++this->report.lostAccepted;
       } else {
         ++this->report.completed;
       }
       co_return;
     }
-    ending = Outcome::eInterrupted;
-    if (reply) {
-      ending = this->OutcomeOf(reply->result_int(), *reply);
-      co_await this->WaitRetryAfter(*reply);
+    outcome = Outcome::eInterrupted;
+    if (response) {
+      outcome = this->OutcomeOf(response->result_int(), *response);
+      co_await this->WaitRetryAfter(*response);
     } else {
       co_await Sleep(kPollInterval);
     }
   }
-  this->CountOutcome(ending);
+  this->CountOutcome(outcome);
 }
 
 Task<LoadGenerator::Outcome>
@@ -317,21 +320,21 @@
   if (booking) {
     request.set("Idempotency-Key", aKey);
   }
-  auto reply = co_await this->SendRequest(std::move(request));
-  if (!reply) {
+  auto response = co_await this->SendRequest(std::move(request));
+  if (!response) {
     co_return Outcome::eInterrupted;
   }
-  const Outcome ending = this->OutcomeOf(reply->result_int(), *reply);
+  const Outcome outcome = this->OutcomeOf(response->result_int(), *response);
   const std::string path =
     aTarget.substr(std::string("/svc/" + this->options.service).size());
-  if (ending == Outcome::eCompleted &&
-      reply->body() != PlainServiceResponse(path, body)) {
+  if (outcome == Outcome::eCompleted &&
+      response->body() != PlainServiceResponse(path, body)) {
     ++this->report.wrongAnswers;
   }
-  if (ending == Outcome::eNotRun) {
-    co_await this->WaitRetryAfter(*reply);
+  if (outcome == Outcome::eNotRun) {
+    co_await this->WaitRetryAfter(*response);
   }
-  co_return ending;
+  co_return outcome;
 }
 
 Task<void>
@@ -339,14 +342,14 @@
 {
   const std::string target =
     "/svc/" + this->options.service + "/jobs/" + std::to_string(aNumber);
-  Outcome ending = Outcome::eInterrupted;
+  Outcome outcome = Outcome::eInterrupted;
   for (int tries = 0; tries < kMaxTries; ++tries) {
-    ending = co_await this->CallService(target, {});
-    if (ending == Outcome::eCompleted) {
+    outcome = co_await this->CallService(target, {});
+    if (outcome == Outcome::eCompleted) {
       break;
     }
   }
-  this->CountOutcome(ending);
+  this->CountOutcome(outcome);
 }
 
 Task<void>
@@ -357,17 +360,17 @@
                           std::to_string(this->options.seed) + "-" +
                           std::to_string(aNumber);
   Booking& booking = this->bookings[key];
-  Outcome ending = Outcome::eInterrupted;
+  Outcome outcome = Outcome::eInterrupted;
   for (int tries = 0; tries < kMaxTries; ++tries) {
-    ending = co_await this->CallService(target, key);
-    booking.allNotRun = booking.allNotRun && ending == Outcome::eNotRun;
+    outcome = co_await this->CallService(target, key);
+    booking.allNotRun = booking.allNotRun && outcome == Outcome::eNotRun;
     booking.anyCompleted =
-      booking.anyCompleted || ending == Outcome::eCompleted;
-    if (ending == Outcome::eCompleted || ending == Outcome::eMayHaveRun) {
+      booking.anyCompleted || outcome == Outcome::eCompleted;
+    if (outcome == Outcome::eCompleted || outcome == Outcome::eMayHaveRun) {
       break;
     }
   }
-  this->CountOutcome(ending);
+  this->CountOutcome(outcome);
 }
 
 Task<void>
@@ -383,9 +386,9 @@
   chat.body = json::serialize(body);
   for (int sends = 0; sends < 3; ++sends) {
     HttpRequest request = this->ChatRequest(chat);
-    auto reply = co_await this->SendRequest(std::move(request));
-    if (reply &&
-        this->OutcomeOf(reply->result_int(), *reply) == Outcome::eCompleted) {
+    auto response = co_await this->SendRequest(std::move(request));
+    if (response && this->OutcomeOf(response->result_int(), *response) ==
+                      Outcome::eCompleted) {
       ++this->report.wrongAnswers;
     }
   }
@@ -416,13 +419,13 @@
   std::map<std::string, std::uint64_t> executions;
   for (const Endpoint& service : this->options.serviceEndpoints) {
     HttpRequest request = MakeRequest(http::verb::get, "/counts");
-    auto reply = co_await Fetch(
+    auto response = co_await Fetch(
       this->worker, service, std::move(request), ClientTimeouts(), true);
-    if (!reply) {
+    if (!response) {
       std::cerr << "load: no counts from " << ToText(service) << "\n";
       continue;
     }
-    const json::value counts = json::parse(reply->body());
+    const json::value counts = json::parse(response->body());
     for (const auto& [key, count] : counts.as_object()) {
       executions[std::string(key)] += count.to_number<std::uint64_t>();
     }
@@ -441,17 +444,18 @@
 {
   const auto start = std::chrono::steady_clock::now();
   const auto end = start + std::chrono::seconds(this->options.seconds);
-  auto nextLine = start + std::chrono::seconds(5);
-  auto due = start;
+  auto nextProgressAt = start + std::chrono::seconds(5);
+  auto nextSendAt = start;
   std::uint64_t number = 0;
-  while (due < end) {
+  while (nextSendAt < end) {
     const double wait =
       -std::log(1.0 - this->random.NextUnit()) / this->options.ratePerSecond;
-    due += std::chrono::microseconds(static_cast<std::int64_t>(wait * 1e6));
+    nextSendAt +=
+      std::chrono::microseconds(static_cast<std::int64_t>(wait * 1e6));
     const auto now = std::chrono::steady_clock::now();
-    if (due > now) {
-      co_await Sleep(
-        std::chrono::duration_cast<std::chrono::milliseconds>(due - now));
+    if (nextSendAt > now) {
+      co_await Sleep(std::chrono::duration_cast<std::chrono::milliseconds>(
+        nextSendAt - now));
     }
     ++number;
     ++this->outstanding;
@@ -460,15 +464,16 @@
       --this->options.poisonRequests;
       this->worker.Spawn(this->RunPoisonRequest(number));
     }
-    if (std::chrono::steady_clock::now() > nextLine) {
-      nextLine += std::chrono::seconds(5);
+    if (std::chrono::steady_clock::now() > nextProgressAt) {
+      nextProgressAt += std::chrono::seconds(5);
       std::cerr << "load: sent " << this->report.sent << " completed "
                 << this->report.completed << " outstanding "
                 << this->outstanding << "\n";
     }
   }
-  const auto drain = std::chrono::steady_clock::now() + kDrainDeadline;
-  while (this->outstanding > 0 && std::chrono::steady_clock::now() < drain) {
+  const auto drainDeadline = std::chrono::steady_clock::now() + kDrainDeadline;
+  while (this->outstanding > 0 &&
+         std::chrono::steady_clock::now() < drainDeadline) {
     co_await Sleep(kPollInterval);
   }
   this->report.failed += this->outstanding;
--- a/standin/LoadGenerator.h
+++ b/standin/LoadGenerator.h
@@ -1,6 +1,6 @@
 /** \file
- * Sends a bounded, seeded mix of requests through the balancer as ordinary
- * clients do, and checks every answer.
+ * Sends a limited, seeded mix of requests through the balancer as ordinary
+ * clients do, and checks every response.
  */
 #pragma once
 
@@ -20,13 +20,12 @@
 struct LoadOptions
 {
   Endpoint target;
-  std::vector<Endpoint> serviceEndpoints; // asked for their counts at the end
+  std::vector<Endpoint> serviceEndpoints; // execution counts are read here
   std::uint64_t seconds = 10;
   double ratePerSecond = 40;
   std::uint64_t seed = 1;
-  std::uint64_t maxTokens = 48; // of a model answer
-  std::uint64_t poisonRequests =
-    0; // requests that crash engines, each sent thrice
+  std::uint64_t maxTokens = 48;     // of a response of a model
+  std::uint64_t poisonRequests = 0; // they crash engines; each sent 3 times
   std::string model = "survey";
   std::string service = "jobdesk";
 };
@@ -37,20 +36,20 @@
 public:
   LoadGenerator(Worker& aWorker, LoadOptions aOptions);
 
-  /** Runs the whole load, waits for what is outstanding, checks the counts of
-   * the services. */
+  /** Sends all requests, waits for the outstanding ones, and checks the
+   * execution counts of the services. */
   Task<void> Run();
 
   [[nodiscard]] const LoadReport& Report() const { return this->report; }
 
 private:
-  /** What came of one request sent once. */
+  /** The result of sending one request once. */
   enum class Outcome
   {
     eCompleted,
     eNotRun,
     eMayHaveRun,
-    eInterrupted, // no answer, or one that broke off
+    eInterrupted, // no response, or an interrupted one
   };
   struct Chat
   {
@@ -60,7 +59,7 @@
     std::string body;
     std::uint64_t received = 0;
     std::string lastEventId;
-    bool streamError = false; // the stream said that it cannot be completed
+    bool streamError = false; // the stream reported that it cannot be completed
   };
   struct Booking
   {
@@ -68,7 +67,7 @@
     bool allNotRun = true;
   };
 
-  /** Sends one request to the balancer and reads the whole answer. */
+  /** Sends one request to the balancer and reads the complete response. */
   Task<CallResult<HttpResponse>> SendRequest(HttpRequest aRequest);
   Task<void> RunRequest(std::uint64_t aNumber);
   Task<void> RunChat(Chat aChat, bool aStream);
@@ -82,7 +81,7 @@
   Task<Outcome> CallService(std::string aTarget, std::string aKey);
   Task<void> RunPoisonRequest(std::uint64_t aNumber);
   Task<void> CheckExecutions();
-  void CountOutcome(Outcome aEnding);
+  void CountOutcome(Outcome aOutcome);
   Outcome OutcomeOf(unsigned aStatus, const http::fields& aHeaders);
   Task<void> WaitRetryAfter(const http::fields& aHeaders);
   HttpRequest ChatRequest(const Chat& aChat) const;
--- a/standin/LoadHelpers.cpp
+++ b/standin/LoadHelpers.cpp
@@ -50,8 +50,8 @@
 {
   const json::object& choice =
     aChunk.as_object().at("choices").as_array().at(0).as_object();
-  const json::object& part = choice.at(aField).as_object();
-  const auto* content = part.if_contains("content");
+  const json::object& field = choice.at(aField).as_object();
+  const auto* content = field.if_contains("content");
   return content != nullptr ? std::string(content->as_string()) : "";
 }
 
--- a/standin/LoadHelpers.h
+++ b/standin/LoadHelpers.h
@@ -1,5 +1,5 @@
 /** \file
- * Small helpers of the load tool: texts, times, what an answer says.
+ * Helpers of the load generator: random texts, times, contents of responses.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace toucanshed::standin {
 
-/** aCount words, the same for the same seed. */
+/** aCount random words; the same seed gives the same words. */
 std::string
 RandomWords(std::uint64_t aSeed, std::uint64_t aCount);
 
@@ -20,16 +20,16 @@
 std::uint64_t
 UnixSeconds();
 
-/** Milliseconds since then. */
+/** Milliseconds since aStart. */
 double
 MsSince(std::chrono::steady_clock::time_point aStart);
 
-/** The patience of an ordinary client. */
+/** The timeouts of an ordinary client. */
 CallTimeouts
 ClientTimeouts();
 
-/** The content of the first choice's part; \param aField "delta" or "message".
- * Precondition: the chunk is one of the daemon's. */
+/** The content of the first choice. \param aField "delta" or "message".
+ * Precondition: aChunk was sent by the daemon. */
 std::string
 ContentOf(const boost::json::value& aChunk, const char* aField);
 
--- a/standin/LoadReport.cpp
+++ b/standin/LoadReport.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 double
-Quantile(std::vector<double> aValues, double aShare)
+Quantile(std::vector<double> aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
   const auto last = static_cast<double>(aValues.size() - 1);
-  return aValues[static_cast<std::size_t>(std::lround(last * aShare))];
+  return aValues[static_cast<std::size_t>(std::lround(last * aFraction))];
 }
 
 json::object
--- a/standin/LoadReport.h
+++ b/standin/LoadReport.h
@@ -1,5 +1,6 @@
 /** \file
- * What a run of the load tool saw, and whether a promise broke.
+ * The results of a run of the load generator, and whether a guarantee was
+ * violated.
  */
 #pragma once
 
@@ -23,13 +24,13 @@
   std::uint64_t completed = 0;
   std::uint64_t refusedNotRun = 0;
   std::uint64_t mayHaveRun = 0;
-  std::uint64_t failed = 0; // neither whole nor truthfully refused
+  std::uint64_t failed = 0; // neither completed nor correctly refused
   std::uint64_t wrongAnswers = 0;
   std::uint64_t lostAccepted = 0;
   std::uint64_t doubledExecutions = 0;
-  std::uint64_t falseNotRun = 0;       // "not run", yet executed
-  std::uint64_t missingExecutions = 0; // "completed", yet never executed
-  std::uint64_t resumedStreams = 0;    // streams picked up again after a cut
+  std::uint64_t falseNotRun = 0;       // "not run", but executed
+  std::uint64_t missingExecutions = 0; // "completed", but never executed
+  std::uint64_t resumedStreams = 0;    // streams resumed after an interruption
   std::uint64_t tokens = 0;
   std::map<std::string, TeamLatencies> teams;
 
--- a/standin/LogServer.cpp
+++ b/standin/LogServer.cpp
@@ -32,8 +32,8 @@
 Task<void>
 LogServer::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
-    co_await aResponder.Send(std::move(*reply));
+  if (auto response = this->faults.HandleRequest(aRequest)) {
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   if (aRequest.target() == "/stats") {
@@ -41,10 +41,10 @@
     co_await aResponder.Send(MakeResponse(200, boost::json::serialize(stats)));
     co_return;
   }
-  const bool known =
+  const bool isStreamPath =
     std::string_view(aRequest.target()).starts_with(kStreamsPath);
-  if (!known || this->faults.IsOn("outage")) {
-    co_await aResponder.Send(MakeResponse(known ? 503 : 404, "{}\n"));
+  if (!isStreamPath || this->faults.IsOn("outage")) {
+    co_await aResponder.Send(MakeResponse(isStreamPath ? 503 : 404, "{}\n"));
     co_return;
   }
   if (aRequest.method() == http::verb::post) {
@@ -86,9 +86,9 @@
 Task<void>
 LogServer::AppendAfterDelay(std::string aName,
                             std::string aPayload,
-                            Millis aWait)
+                            Millis aDelay)
 {
-  co_await Sleep(aWait);
+  co_await Sleep(aDelay);
   this->AppendRecord(this->streams[aName], std::move(aPayload));
 }
 
@@ -102,7 +102,8 @@
   }
   const auto delay = this->faults.Value("delay_append_ms");
   if (delay > 0) {
-    // Takes effect after the answer was given up: unclear to the writer.
+    // The append takes effect after the writer has stopped waiting for a
+    // response, so that its outcome is unclear to the writer.
     this->worker.Spawn(
       this->AppendAfterDelay(name, aRequest.body(), Millis(delay)));
     co_await Sleep(Millis(delay));
@@ -119,7 +120,7 @@
 Task<void>
 LogServer::Read(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  constexpr std::uint64_t kMostEntries = 500;
+  constexpr std::uint64_t kMaxEntries = 500;
   Stream& stream = this->streams[StreamNameOf(aRequest.target())];
   std::uint64_t from = NumberOf(QueryParamOf(aRequest.target(), "from"), 1);
   const std::uint64_t waitMs =
@@ -127,16 +128,17 @@
   if (from >= stream.NextOffset() && waitMs > 0) {
     auto reader = std::make_shared<net::steady_timer>(this->worker.context);
     reader->expires_after(Millis(waitMs));
-    const auto place =
+    const auto waitingReader =
       stream.waitingReaders.insert(stream.waitingReaders.end(), reader);
-    boost::system::error_code woken;
-    co_await reader->async_wait(net::redirect_error(net::use_awaitable, woken));
-    stream.waitingReaders.erase(place);
+    boost::system::error_code waitError;
+    co_await reader->async_wait(
+      net::redirect_error(net::use_awaitable, waitError));
+    stream.waitingReaders.erase(waitingReader);
   }
   records::LogPage page;
   page.set_earliest(stream.earliest);
   from = std::max(from, stream.earliest);
-  const std::uint64_t end = std::min(stream.NextOffset(), from + kMostEntries);
+  const std::uint64_t end = std::min(stream.NextOffset(), from + kMaxEntries);
   for (std::uint64_t i = from; i < end; ++i) {
     records::LogEntry* entry = page.add_entries();
     entry->set_offset(i);
--- a/standin/LogServer.h
+++ b/standin/LogServer.h
@@ -1,6 +1,6 @@
 /** \file
  * Stand-in for the platform's append-only log: streams of records with
- * offsets, a limited rate, a limited retention and outages.
+ * offsets, a limited append rate, a limited retention, and outages.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 struct LogOptions
 {
   std::uint64_t appendsPerSecond = 500;
-  std::uint64_t maxRecordsPerStream = 1000000; // per stream
+  std::uint64_t maxRecordsPerStream = 1000000;
   std::uint64_t seed = 1;
 };
 
@@ -56,7 +56,7 @@
   Task<void> Read(const HttpRequest& aRequest, HttpResponder& aResponder);
   Task<void> AppendAfterDelay(std::string aName,
                               std::string aPayload,
-                              Millis aWait);
+                              Millis aDelay);
   std::uint64_t AppendRecord(Stream& aStream, std::string aPayload);
   bool ExceedsRate();
 
--- a/standin/PlainService.cpp
+++ b/standin/PlainService.cpp
@@ -21,8 +21,8 @@
 Task<void>
 PlainService::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
-    co_await aResponder.Send(std::move(*reply));
+  if (auto response = this->faults.HandleRequest(aRequest)) {
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   if (aRequest.target() == "/health" || aRequest.target() == "/load") {
@@ -51,19 +51,19 @@
     _exit(3);
   }
   if (this->faults.ShouldInject("drop_answer_percent")) {
-    // Neither begun nor ended: the server closes the connection.
+    // No response was begun, so the server closes the connection.
     co_return;
   }
   if (this->faults.ShouldInject("fail_percent")) {
     co_await aResponder.Send(MakeResponse(500, "{\"error\":\"internal\"}\n"));
     co_return;
   }
-  HttpResponse reply =
+  HttpResponse response =
     MakeResponse(200, PlainServiceResponse(aRequest.target(), aRequest.body()));
   const bool crossed = this->faults.ShouldInject("crossed_percent");
-  reply.set("Attempt-Id",
-            crossed ? "another-attempt" : HeaderOf(aRequest, "Attempt-Id"));
-  co_await aResponder.Send(std::move(reply));
+  response.set("Attempt-Id",
+               crossed ? "another-attempt" : HeaderOf(aRequest, "Attempt-Id"));
+  co_await aResponder.Send(std::move(response));
 }
 
 } // namespace toucanshed::standin
--- a/standin/PlainService.h
+++ b/standin/PlainService.h
@@ -1,5 +1,5 @@
 /** \file
- * Stand-in for a plain service that counts executions per key.
+ * Stand-in for a plain service that counts executions per idempotency key.
  */
 #pragma once
 
--- a/standin/PlainServiceResponse.h
+++ b/standin/PlainServiceResponse.h
@@ -1,5 +1,6 @@
 /** \file
- * What the plain service answers: a function of the request.
+ * The response of the plain service, which is a function of the request. The
+ * load generator computes it too, and so detects a wrong response.
  */
 #pragma once
 
--- a/standin/PrefixCache.h
+++ b/standin/PrefixCache.h
@@ -1,5 +1,6 @@
 /** \file
- * An engine's limited memory of prompt prefixes, least recently used out.
+ * An engine's limited cache of prompt prefixes. It evicts the least recently
+ * used block.
  */
 #pragma once
 
@@ -15,12 +16,12 @@
 class PrefixCache
 {
 public:
-  explicit PrefixCache(std::size_t aMostBlocks)
-    : maxBlocks(aMostBlocks)
+  explicit PrefixCache(std::size_t aMaxBlocks)
+    : maxBlocks(aMaxBlocks)
   {
   }
 
-  /** How many leading blocks are held; marks them as used. */
+  /** The number of leading blocks that are cached; marks them as used. */
   std::size_t MatchPrefix(const std::vector<std::uint64_t>& aBlocks);
   void Add(const std::vector<std::uint64_t>& aBlocks);
 
@@ -30,7 +31,7 @@
     std::uint64_t block = 0;
     bool added = false;
   };
-  /** The newest events, oldest first; older ones are dropped. */
+  /** The latest events, oldest first; older events are dropped. */
   [[nodiscard]] const std::list<CacheEvent>& Events() const
   {
     return this->events;
--- a/standin/Tokens.cpp
+++ b/standin/Tokens.cpp
@@ -45,11 +45,11 @@
 CountWords(std::string_view aText)
 {
   std::uint64_t words = 0;
-  bool inside = false;
-  for (const char letter : aText) {
-    const bool space = letter == ' ' || letter == '\n';
-    words += (!space && !inside) ? 1 : 0;
-    inside = !space;
+  bool inWord = false;
+  for (const char character : aText) {
+    const bool isSpace = character == ' ' || character == '\n';
+    words += (!isSpace && !inWord) ? 1 : 0;
+    inWord = !isSpace;
   }
   return words;
 }
--- a/standin/Tokens.h
+++ b/standin/Tokens.h
@@ -1,6 +1,6 @@
 /** \file
- * What an engine answers is a function of the prompt, so that any wrong,
- * missing or doubled token is seen by whoever knows the prompt.
+ * The response of an engine is a function of the prompt, so that a client that
+ * knows the prompt detects any wrong, missing or doubled token.
  */
 #pragma once
 
@@ -11,11 +11,11 @@
 
 namespace toucanshed::standin {
 
-/** Token number aIndex of the answer to aPrompt, with its trailing space. */
+/** Token number aIndex of the response to aPrompt, with its trailing space. */
 std::string
 TokenAt(std::string_view aPrompt, std::uint64_t aIndex);
 
-/** The first aCount tokens run together. */
+/** The first aCount tokens concatenated. */
 std::string
 FullResponse(std::string_view aPrompt, std::uint64_t aCount);
 
@@ -23,7 +23,7 @@
 std::vector<std::uint64_t>
 PrefixBlocks(std::string_view aPrompt);
 
-/** Words in a text; the stand-ins' count of tokens. */
+/** Words in a text; the stand-ins count words as tokens. */
 std::uint64_t
 CountWords(std::string_view aText);
 
--- a/standin/WeightStore.cpp
+++ b/standin/WeightStore.cpp
@@ -9,8 +9,8 @@
 Task<void>
 WeightStore::Handle(const HttpRequest& aRequest, HttpResponder& aResponder)
 {
-  if (auto reply = this->faults.HandleRequest(aRequest)) {
-    co_await aResponder.Send(std::move(*reply));
+  if (auto response = this->faults.HandleRequest(aRequest)) {
+    co_await aResponder.Send(std::move(*response));
     co_return;
   }
   const auto now = std::chrono::duration_cast<std::chrono::seconds>(
--- a/standin/WeightStore.h
+++ b/standin/WeightStore.h
@@ -1,5 +1,6 @@
 /** \file
- * Stand-in for the weight store: hands out versions within a rate.
+ * Stand-in for the weight store: returns the weights of versions, with a
+ * limited rate of fetches.
  */
 #pragma once
 
@@ -12,7 +13,7 @@
 class WeightStore
 {
 public:
-  /** \param aPerSecond fetches begun in one second before 429. */
+  /** \param aPerSecond fetches allowed in one second; further ones get 429. */
   WeightStore(std::uint64_t aPerSecond, std::uint64_t aSeed)
     : maxFetchesPerSecond(aPerSecond)
     , faults(aSeed)
--- a/standin/main/main.cpp
+++ b/standin/main/main.cpp
@@ -1,6 +1,6 @@
 /** \file
- * standin: the small stand-ins for what surrounds the system, one subcommand
- * each.
+ * standin: small stand-ins for the services around the system, with one
+ * subcommand for each.
  */
 #include "edge/WorkerPool.h"
 #include "standin/Balancer.h"
@@ -37,16 +37,17 @@
   return *endpoint;
 }
 
-template<typename Node>
+template<typename Server>
 int
-RunServer(WorkerPool& aPool, Node& aNode, const Endpoint& aListen)
+RunServer(WorkerPool& aPool, Server& aServer, const Endpoint& aListen)
 {
   HttpLimits limits;
   limits.maxBodyBytes = 16U << 20U;
-  const auto handler =
-    [&aNode](Worker&, const HttpRequest& aRequest, HttpResponder& aResponder) {
-      return aNode.Handle(aRequest, aResponder);
-    };
+  const auto handler = [&aServer](Worker&,
+                                  const HttpRequest& aRequest,
+                                  HttpResponder& aResponder) {
+    return aServer.Handle(aRequest, aResponder);
+  };
   HttpServer server(aPool, limits, handler);
   const auto listening = server.Listen(aListen);
   if (!listening) {
@@ -64,9 +65,9 @@
   auto add = options.add_options();
   add("listen", "IP:PORT", cxxopts::value<std::string>());
   add("seed",
-      "seed of faults and load",
+      "seed of the faults and the load",
       cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("help", "this text");
+  add("help", "print this text");
   if (aCommand == "engine") {
     add("id", "instance id", cxxopts::value<std::string>());
     add("service", "service", cxxopts::value<std::string>());
@@ -79,50 +80,50 @@
         "milliseconds between tokens",
         cxxopts::value<std::uint64_t>()->default_value("4"));
     add("fault",
-        "switch that is on from the start",
+        "fault switch that is on from the start",
         cxxopts::value<std::string>());
   } else if (aCommand == "instances") {
     add("lag-ms",
-        "age of the list it shows, milliseconds",
+        "age of the returned list, milliseconds",
         cxxopts::value<std::uint64_t>()->default_value("500"));
   } else if (aCommand == "log") {
     add("rate",
-        "appends a second",
+        "appends per second",
         cxxopts::value<std::uint64_t>()->default_value("500"));
     add("keep",
-        "records kept in a stream",
+        "records retained per stream",
         cxxopts::value<std::uint64_t>()->default_value("1000000"));
   } else if (aCommand == "balancer") {
     add("targets",
-        "CALLERS/OPERATORS pairs of IP:PORT, by commas",
+        "CALLERS/OPERATORS pairs of IP:PORT, separated by commas",
         cxxopts::value<std::vector<std::string>>());
   } else if (aCommand == "load") {
     add("target", "the balancer", cxxopts::value<std::string>());
     add("services",
-        "plain services, by commas",
+        "plain services, separated by commas",
         cxxopts::value<std::vector<std::string>>());
     add("seconds",
-        "how long",
+        "duration in seconds",
         cxxopts::value<std::uint64_t>()->default_value("10"));
     add("rate",
-        "requests a second",
+        "requests per second",
         cxxopts::value<double>()->default_value("40"));
     add("poison",
         "requests that crash engines",
         cxxopts::value<std::uint64_t>()->default_value("0"));
     add("tokens",
-        "most tokens of an answer, at least 9",
+        "maximum tokens of a response, at least 9",
         cxxopts::value<std::uint64_t>()->default_value("48"));
-    add("report", "JSON report", cxxopts::value<std::string>());
+    add("report", "file for the JSON report", cxxopts::value<std::string>());
   }
   return options;
 }
 
 int
-RunBalancer(const cxxopts::ParseResult& aGiven)
+RunBalancer(const cxxopts::ParseResult& aParsed)
 {
   std::vector<BalancerTarget> targets;
-  for (const auto& pair : aGiven["targets"].as<std::vector<std::string>>()) {
+  for (const auto& pair : aParsed["targets"].as<std::vector<std::string>>()) {
     const auto slash = pair.find('/');
     targets.push_back(
       BalancerTarget{ ParseEndpointOrExit(pair.substr(0, slash)),
@@ -131,7 +132,7 @@
   WorkerPool pool(1);
   Balancer balancer(pool.First(), targets);
   const auto listening =
-    balancer.Listen(ParseEndpointOrExit(aGiven["listen"].as<std::string>()));
+    balancer.Listen(ParseEndpointOrExit(aParsed["listen"].as<std::string>()));
   if (!listening) {
     std::cerr << "standin: " << listening.error().message << "\n";
     return 1;
@@ -141,21 +142,22 @@
 }
 
 int
-RunLoad(const cxxopts::ParseResult& aGiven)
+RunLoad(const cxxopts::ParseResult& aParsed)
 {
   LoadOptions options;
-  options.target = ParseEndpointOrExit(aGiven["target"].as<std::string>());
-  if (aGiven.count("services") != 0) {
-    for (const auto& text : aGiven["services"].as<std::vector<std::string>>()) {
+  options.target = ParseEndpointOrExit(aParsed["target"].as<std::string>());
+  if (aParsed.count("services") != 0) {
+    for (const auto& text :
+         aParsed["services"].as<std::vector<std::string>>()) {
       options.serviceEndpoints.push_back(ParseEndpointOrExit(text));
     }
   }
-  options.seconds = aGiven["seconds"].as<std::uint64_t>();
-  options.ratePerSecond = aGiven["rate"].as<double>();
-  options.seed = aGiven["seed"].as<std::uint64_t>();
-  options.poisonRequests = aGiven["poison"].as<std::uint64_t>();
+  options.seconds = aParsed["seconds"].as<std::uint64_t>();
+  options.ratePerSecond = aParsed["rate"].as<double>();
+  options.seed = aParsed["seed"].as<std::uint64_t>();
+  options.poisonRequests = aParsed["poison"].as<std::uint64_t>();
   options.maxTokens =
-    std::max<std::uint64_t>(9, aGiven["tokens"].as<std::uint64_t>());
+    std::max<std::uint64_t>(9, aParsed["tokens"].as<std::uint64_t>());
   WorkerPool pool(1);
   LoadGenerator load(pool.First(), options);
   pool.First().Spawn([](LoadGenerator& aLoad, WorkerPool& aPool) -> Task<void> {
@@ -164,26 +166,26 @@
   }(load, pool));
   pool.Run();
   std::cout << load.Report().ToTable();
-  if (aGiven.count("report") != 0) {
-    std::ofstream file(aGiven["report"].as<std::string>());
+  if (aParsed.count("report") != 0) {
+    std::ofstream file(aParsed["report"].as<std::string>());
     file << load.Report().ToJson();
   }
   return load.Report().GuaranteesHold() ? 0 : 1;
 }
 
 int
-RunEngine(const cxxopts::ParseResult& aGiven, const Endpoint& aListen)
+RunEngine(const cxxopts::ParseResult& aParsed, const Endpoint& aListen)
 {
   EngineOptions options;
-  options.id = aGiven["id"].as<std::string>();
-  options.service = aGiven["service"].as<std::string>();
-  options.version = aGiven["version"].as<std::string>();
-  options.zone = aGiven["zone"].as<std::string>();
-  options.slots = aGiven["slots"].as<std::uint64_t>();
-  options.decodeStepMs = aGiven["step-ms"].as<std::uint64_t>();
-  options.seed = aGiven["seed"].as<std::uint64_t>();
-  if (aGiven.count("fault") != 0) {
-    options.initialFault = aGiven["fault"].as<std::string>();
+  options.id = aParsed["id"].as<std::string>();
+  options.service = aParsed["service"].as<std::string>();
+  options.version = aParsed["version"].as<std::string>();
+  options.zone = aParsed["zone"].as<std::string>();
+  options.slots = aParsed["slots"].as<std::uint64_t>();
+  options.decodeStepMs = aParsed["step-ms"].as<std::uint64_t>();
+  options.seed = aParsed["seed"].as<std::uint64_t>();
+  if (aParsed.count("fault") != 0) {
+    options.initialFault = aParsed["fault"].as<std::string>();
   }
   WorkerPool pool(1);
   Engine engine(pool.First(), options);
@@ -192,13 +194,13 @@
 
 int
 RunServerCommand(const std::string& aCommand,
-                 const cxxopts::ParseResult& aGiven)
+                 const cxxopts::ParseResult& aParsed)
 {
   const Endpoint listen =
-    ParseEndpointOrExit(aGiven["listen"].as<std::string>());
-  const std::uint64_t seed = aGiven["seed"].as<std::uint64_t>();
+    ParseEndpointOrExit(aParsed["listen"].as<std::string>());
+  const std::uint64_t seed = aParsed["seed"].as<std::uint64_t>();
   if (aCommand == "engine") {
-    return RunEngine(aGiven, listen);
+    return RunEngine(aParsed, listen);
   }
   WorkerPool pool(1);
   if (aCommand == "service") {
@@ -207,15 +209,15 @@
   }
   if (aCommand == "log") {
     LogOptions options;
-    options.appendsPerSecond = aGiven["rate"].as<std::uint64_t>();
-    options.maxRecordsPerStream = aGiven["keep"].as<std::uint64_t>();
+    options.appendsPerSecond = aParsed["rate"].as<std::uint64_t>();
+    options.maxRecordsPerStream = aParsed["keep"].as<std::uint64_t>();
     options.seed = seed;
     LogServer log(pool.First(), options);
     return RunServer(pool, log, listen);
   }
   if (aCommand == "instances") {
     InstanceListServer instances(
-      std::chrono::milliseconds(aGiven["lag-ms"].as<std::uint64_t>()));
+      std::chrono::milliseconds(aParsed["lag-ms"].as<std::uint64_t>()));
     return RunServer(pool, instances, listen);
   }
   if (aCommand == "cloud") {
@@ -242,16 +244,16 @@
   }
   try {
     cxxopts::Options options = OptionsOf(command);
-    const auto given = options.parse(aCount - 1, aArguments + 1);
-    if (given.count("help") != 0) {
+    const auto parsed = options.parse(aCount - 1, aArguments + 1);
+    if (parsed.count("help") != 0) {
       std::cout << options.help();
       return 0;
     }
     if (command == "balancer") {
-      return RunBalancer(given);
+      return RunBalancer(parsed);
     }
-    return command == "load" ? RunLoad(given)
-                             : RunServerCommand(command, given);
+    return command == "load" ? RunLoad(parsed)
+                             : RunServerCommand(command, parsed);
   } catch (const cxxopts::exceptions::exception& error) {
     std::cerr << "standin: " << error.what() << "\n";
     return 2;
