--- a/standin/LoadGenerator.h
+++ b/standin/LoadGenerator.h
@@ -20,7 +20,7 @@
 struct LoadOptions
 {
   Endpoint target;
-  std::vector<Endpoint> serviceEndpoints; // execution counts are read here
+  std::vector<Endpoint> serviceEndpoints; // asked for counts at the end
   std::uint64_t seconds = 10;
   double ratePerSecond = 40;
   std::uint64_t seed = 1;
