--- a/src/coord/RolloutPlanner.cpp
+++ b/src/coord/RolloutPlanner.cpp
@@ -30,14 +30,14 @@
 RolloutProposal
 PlanRollout(const RolloutPlanInput& aInput, TimePoint aNow)
 {
-  if (aInput.finding.bad) {
-    return { RolloutAction::eRollBack, aInput.finding.reason };
+  if (aInput.verdict.bad) {
+    return { RolloutAction::eRollBack, aInput.verdict.reason };
   }
   const TimePoint deadline =
     aInput.state.started + Seconds(aInput.spec.deadline_s());
   const Millis timeInStep = aNow - aInput.stepStartedAt;
   if (aInput.state.step == kLastRolloutStep) {
-    const bool hasSoaked = !aInput.finding.doubtful &&
+    const bool hasSoaked = !aInput.verdict.doubtful &&
                            timeInStep >= Seconds(aInput.spec.soak_s()) &&
                            aInput.stepRequests >= aInput.spec.min_requests();
     if (hasSoaked) {
@@ -50,7 +50,7 @@
                " with " + std::to_string(aInput.stepRequests) + " of " +
                std::to_string(aInput.spec.min_requests()) + " requests" };
   }
-  const bool canAdvance = !aInput.finding.doubtful &&
+  const bool canAdvance = !aInput.verdict.doubtful &&
                           aInput.state.step < kLastRolloutStep &&
                           timeInStep >= MinStepDuration(aInput.spec) &&
                           aInput.stepRequests >= aInput.spec.min_requests();
--- a/src/coord/RolloutPlanner.h
+++ b/src/coord/RolloutPlanner.h
@@ -33,7 +33,7 @@
   config::Move spec;
   TimePoint stepStartedAt;        // when this daemon applied the present step
   std::uint64_t stepRequests = 0; // to the new version since then
-  VersionVerdict finding;
+  VersionVerdict verdict;
 };
 
 /**
--- a/src/daemon/RolloutDriver.cpp
+++ b/src/daemon/RolloutDriver.cpp
@@ -110,14 +110,14 @@
   RolloutPlanInput input;
   input.state = aRollout.state;
   input.spec = aRollout.spec;
-  input.finding = CompareRolloutVersions(aState, aRollout);
+  input.verdict = CompareRolloutVersions(aState, aRollout);
   StepProgress& progress =
-    ProgressOf(aProgressByRollout, aRollout, input.finding.requests, now);
+    ProgressOf(aProgressByRollout, aRollout, input.verdict.requests, now);
   input.stepStartedAt = progress.stepStartedAt;
-  input.stepRequests = input.finding.requests - progress.requestsAtStart;
+  input.stepRequests = input.verdict.requests - progress.requestsAtStart;
   if (const auto reason = RollbackReason(aState, aRollout.state.rollout)) {
-    input.finding.bad = true;
-    input.finding.reason = *reason;
+    input.verdict.bad = true;
+    input.verdict.reason = *reason;
   }
   const RolloutProposal proposal = PlanRollout(input, now);
   const auto owners = RolloutOwners(
@@ -130,7 +130,7 @@
   // The evidence of one daemon may be enough to find a version bad. Only the
   // owners, which collect the evidence of all daemons, can find that there is
   // too little of it.
-  const bool mayRollBack = input.finding.bad || isOwner;
+  const bool mayRollBack = input.verdict.bad || isOwner;
   if (proposal.action == RolloutAction::eRollBack && mayRollBack) {
     RollBack(aState, aRollout, proposal.reason);
   }
--- a/src/serve/RolloutMonitor.cpp
+++ b/src/serve/RolloutMonitor.cpp
@@ -41,7 +41,7 @@
     for (const KeyedRecord& record : page->records) {
       const auto status = aState.wire.records.readRolloutStatus(*record.value);
       if (status) {
-        aState.rollouts.End(status->service, status->order, status->stage);
+        aState.rollouts.End(status->service, status->order, status->phase);
       }
     }
     co_return;
--- a/src/serve/WireFormats.h
+++ b/src/serve/WireFormats.h
@@ -131,7 +131,7 @@
 {
   ServiceId service;
   Position order;
-  RolloutPhase stage = RolloutPhase::eActive;
+  RolloutPhase phase = RolloutPhase::eActive;
 };
 
 /** Records in the store that operators, back ends and the platform read or
--- a/test/correctness/RolloutPlannerTest.cpp
+++ b/test/correctness/RolloutPlannerTest.cpp
@@ -36,7 +36,7 @@
   // the doubtful state, a version that fails a third of them would advance step
   // by step.
   RolloutPlanInput input = MakeInput();
-  input.finding.doubtful = true;
+  input.verdict.doubtful = true;
   CHECK(PlanRollout(input, kAfterMinStep).action == RolloutAction::eWait);
   input.state.step = kLastRolloutStep;
   CHECK(PlanRollout(input, kAfterMinStep).action == RolloutAction::eWait);
@@ -45,8 +45,8 @@
 TEST_CASE("a bad version is rolled back with its reason")
 {
   RolloutPlanInput input = MakeInput();
-  input.finding.bad = true;
-  input.finding.reason = "errors on route chat";
+  input.verdict.bad = true;
+  input.verdict.reason = "errors on route chat";
   const RolloutProposal proposal = PlanRollout(input, kAfterMinStep);
   CHECK(proposal.action == RolloutAction::eRollBack);
   CHECK(proposal.reason == "errors on route chat");
--- a/test/correctness/StoreOutageTest.cpp
+++ b/test/correctness/StoreOutageTest.cpp
@@ -35,7 +35,7 @@
 
 // The engines of two failure domains leave while others' entries are still
 // missing.
-TEST_CASE("an entry seen after an outage did not lapse in it")
+TEST_CASE("an entry seen after an outage did not expire in it")
 {
   StoreOutage outage = AfterFailedCalls();
   outage.RecordSuccess(kFirstSuccess);
--- a/test/failure/ServingRequestTest.cpp
+++ b/test/failure/ServingRequestTest.cpp
@@ -288,7 +288,7 @@
 }
 
 // All daemons restart at once, and each would use the whole retry budget alone.
-TEST_CASE("listed but unheard daemons share the retry budget")
+TEST_CASE("listed daemons without heartbeat share the retries")
 {
   PlatformHarness harness(22680);
   auto& first = harness.AddEngine("e1", "plain");
--- a/test/failure/StoreWatcherTest.cpp
+++ b/test/failure/StoreWatcherTest.cpp
@@ -138,7 +138,7 @@
   CHECK(leaving.receivedRequests.empty());
 }
 
-TEST_CASE("a leaving engine is learned from another daemon")
+TEST_CASE("a leaving engine is reported by another daemon")
 {
   // Another daemon reads the list for all and reports that the first engine is
   // leaving. This daemon's requests go elsewhere at once, without a call of its
--- a/test/performance/RolloutSimulation.cpp
+++ b/test/performance/RolloutSimulation.cpp
@@ -166,18 +166,18 @@
   void EvaluateRollout()
   {
     EvidenceTable& table = this->tables[0];
-    this->input.finding = CompareVersions(table.Sum(kRollout, kOldVersion),
+    this->input.verdict = CompareVersions(table.Sum(kRollout, kOldVersion),
                                           table.Sum(kRollout, kNewVersion),
                                           VersionComparisonLimits{});
     this->input.stepRequests =
-      this->input.finding.requests - this->requestsAtStepStart;
+      this->input.verdict.requests - this->requestsAtStepStart;
     const RolloutProposal proposal =
       PlanRollout(this->input, TimePoint{ this->nowMs });
     switch (proposal.action) {
       case RolloutAction::eAdvance:
         ++this->input.state.step;
         this->input.stepStartedAt = TimePoint{ this->nowMs };
-        this->requestsAtStepStart = this->input.finding.requests;
+        this->requestsAtStepStart = this->input.verdict.requests;
         break;
       case RolloutAction::eRollBack:
         this->result.rolledBack = true;
