--- a/test/correctness/StoreRelayTest.cpp
+++ b/test/correctness/StoreRelayTest.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("two daemons read the store; others replace them")
+TEST_CASE("two daemons read the store, others replace them")
 {
   std::list<serving::DaemonHeartbeat> all;
   for (int i = 0; i < 89; ++i) {
